--- a/internal/opaque/dialect.go
+++ b/internal/opaque/dialect.go
@@ -1,5 +1,5 @@
-// Package opaque holds requests that the router passes on byte for byte: what
-// is known of one on its way, and the names of the headers that carry it.
+// Package opaque defines requests that the router forwards byte for byte: the state of a request
+// while it is processed, and the names of the headers that carry its metadata.
 package opaque
 
 import (
@@ -11,48 +11,50 @@
 	"dooryard.example/dooryard/internal/prompt"
 )
 
-// Dialect names the headers that callers, boxes and upstreams speak. A name
-// that is empty is not spoken.
+// Dialect holds the names of the headers that callers, boxes and upstreams exchange. A header with
+// an empty name is not used.
 type Dialect struct {
 	// RequestID is set by callers and echoed by upstreams.
 	RequestID string
-	// DeadlineMs holds how long the sender waits, in milliseconds.
+	// DeadlineMs carries the time that the sender still waits for the response, in milliseconds.
 	DeadlineMs string
-	// Organisation tells upstreams who the caller belongs to.
+	// Organisation tells upstreams which organisation the caller belongs to.
 	Organisation string
-	// ExpectUpstream names the incarnation that alone may run the request.
+	// ExpectUpstream carries the only upstream incarnation that may run the request.
 	ExpectUpstream string
-	// NotRun is set in answers of upstreams that ran nothing of the request.
+	// NotRun is set on responses of upstreams that did not run any part of the request.
 	NotRun string
-	// Word decodes what an upstream says of itself in the head of an answer.
+	// Word decodes the status that an upstream reports about itself in the header of a response.
 	Word func(status int, header http.Header) Word
-	// ToBox are the headers of answers that speak to the box and aren't passed on.
+	// ToBox lists response headers that are addressed to the box and are not forwarded to the
+	// caller.
 	ToBox []string
-	// Urgency ranks requests at engines; 0 comes first.
+	// Urgency carries the priority of a request at engines. 0 is the highest.
 	Urgency string
-	// Prompt holds a prompt's parts as ID:TOKENS, with commas between.
+	// Prompt carries the parts of a prompt as a comma-separated list of ID:TOKENS.
 	Prompt string
-	// LastEventID is where a stream goes on.
+	// LastEventID carries the ID of the last event received, from which a stream resumes.
 	LastEventID string
-	// FetchFrom is the address of an engine that keeps parts of the prompt.
+	// FetchFrom carries the address of an engine that has parts of the prompt cached.
 	FetchFrom string
-	// Reserved are the headers that only the system may set, beside those above.
+	// Reserved lists further headers that only the system may set. They are removed from callers'
+	// requests.
 	Reserved []string
-	// Key returns a request's key from its headers.
+	// Key returns the key of a request from its headers.
 	Key func(header http.Header) string
-	// RetryAfter writes a span as a Retry-After value.
+	// RetryAfter formats a duration as the value of a Retry-After header.
 	RetryAfter func(span clock.Millis) string
 }
 
-// hopHeaders end at each connection.
-var hopHeaders = []string{
+// hopByHopHeaders lists the headers that apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// Forwarded returns the headers that pass from a caller to an upstream.
+// Forwarded returns the headers of a caller's request that are forwarded to the upstream.
 func (d *Dialect) Forwarded(header http.Header) http.Header {
-	out := endToEnd(header)
+	out := endToEndHeaders(header)
 	for _, name := range d.Reserved {
 		out.Del(name)
 	}
@@ -66,30 +68,31 @@
 	return out
 }
 
-// Returned returns the headers that pass from an upstream to a caller.
+// Returned returns the headers of an upstream's response that are forwarded to the caller.
 func (d *Dialect) Returned(header http.Header) http.Header {
-	out := endToEnd(header)
+	out := endToEndHeaders(header)
 	for _, name := range d.ToBox {
 		out.Del(name)
 	}
 	return out
 }
 
-// endToEnd returns the headers that do not concern one connection only.
-func endToEnd(header http.Header) http.Header {
+// endToEndHeaders returns a copy of the headers without those that apply to a single connection.
+func endToEndHeaders(header http.Header) http.Header {
 	out := header.Clone()
 	for _, list := range header.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// ParsePrompt reads a prompt's parts; what is no part ends the list.
+// ParsePrompt parses the parts of a prompt. It stops at the first malformed part and returns those
+// before it.
 func ParsePrompt(value string) prompt.Prompt {
 	if value == "" {
 		return nil
--- a/internal/opaque/request.go
+++ b/internal/opaque/request.go
@@ -11,17 +11,17 @@
 	"dooryard.example/dooryard/internal/routing"
 )
 
-// Request is one opaque request on its way through the steps.
+// Request is an opaque request while it passes through the pipeline.
 type Request struct {
-	// ID is the caller's own id of this request.
+	// ID is the request ID that the caller chose.
 	ID      string
 	HTTP    *http.Request
 	Writer  *exchange.Writer
 	Dialect *Dialect
 
-	// ArrivedMs is the steady instant at which its head was read.
+	// ArrivedMs is the monotonic time at which the header of the request was read.
 	ArrivedMs clock.Millis
-	// DeadlineMs is the steady instant of the final answer at the latest.
+	// DeadlineMs is the monotonic time by which the final response is due.
 	DeadlineMs clock.Millis
 
 	State        *routing.State
@@ -30,38 +30,37 @@
 	Pool         string
 	Prompt       prompt.Prompt
 	Body         []byte
-	// Fingerprint stands for what the request asks, once its body was read.
+	// Fingerprint identifies the content of the request. It is set once the body was read.
 	Fingerprint quarantine.Fingerprint
 
-	// Sent counts the upstreams that the request, or a part of it, may have
-	// reached.
+	// Sent counts the upstreams that may have received the request or a part of it.
 	Sent int
-	// MayHaveRun is set while an upstream may have run the request and no
-	// answer settled it.
+	// MayHaveRun is set while an upstream may have run the request and no response has confirmed or
+	// ruled it out.
 	MayHaveRun bool
-	// Tried are the upstreams that are not asked again.
+	// Tried lists the upstreams that must not be tried again.
 	Tried []string
-	// Upstream is the one that answered, or the last one tried.
+	// Upstream is the upstream that responded, or else the last one tried.
 	Upstream string
-	// Cause says why the request ended without an upstream's answer.
+	// Cause is the reason why the request ended without an upstream's response.
 	Cause string
 }
 
-// Context ends when the caller leaves.
+// Context returns a context that is canceled when the caller disconnects.
 func (r *Request) Context() context.Context { return r.HTTP.Context() }
 
-// NoteFingerprint sets what the request asks from what was read.
+// NoteFingerprint computes the fingerprint from the parts of the request that were read.
 func (r *Request) NoteFingerprint() {
-	asked := quarantine.Request{
+	request := quarantine.Request{
 		Method: r.HTTP.Method, Host: r.HTTP.Host, Target: r.HTTP.RequestURI, Body: r.Body,
 	}
 	if r.Organisation != nil {
-		asked.Organisation = r.Organisation.Name
+		request.Organisation = r.Organisation.Name
 	}
-	r.Fingerprint = asked.Fingerprint()
+	r.Fingerprint = request.Fingerprint()
 }
 
-// Priority is the request's rank: that of its organisation, or else its route's.
+// Priority returns the priority of the organisation if it has one, and otherwise that of the route.
 func (r *Request) Priority() int {
 	if r.Organisation != nil && r.Organisation.HasPriority {
 		return r.Organisation.Priority
@@ -69,5 +68,5 @@
 	return r.Route.Priority
 }
 
-// RemainingMs is the time until the final answer is due.
+// RemainingMs returns the time until the final response is due.
 func (r *Request) RemainingMs(now clock.Millis) clock.Millis { return r.DeadlineMs - now }
--- a/internal/opaque/word.go
+++ b/internal/opaque/word.go
@@ -2,16 +2,17 @@
 
 import "dooryard.example/dooryard/internal/clock"
 
-// Word is what an upstream says of itself in the head of an answer. The dialect decodes it
-// once; the zero value says nothing.
+// Word is the status that an upstream reports about itself in the header of a response. The dialect
+// decodes it once per response. The zero value reports nothing.
 type Word struct {
-	// RestMs is for how long the upstream wants no request from this box, or 0.
+	// RestMs is how long the upstream wants to receive no requests from this box, or 0.
 	RestMs clock.Millis
-	// Leaving is set once the upstream is about to end.
+	// Leaving is set when the upstream is about to shut down.
 	Leaving bool
-	// Holds is how many requests the upstream runs or has waiting, if TellsLoad is set.
+	// Holds is the number of requests that the upstream runs or has queued. It is valid if TellsLoad
+	// is set.
 	Holds     int
 	TellsLoad bool
-	// Err says what of the head can't be read, if anything.
+	// Err describes the malformed status headers, if any.
 	Err error
 }
