--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,5 +1,6 @@
-// Package quarantine remembers under which requests upstreams ended, so that a request
-// that ends whatever upstream begins to run it is recognised when it comes again.
+// Package quarantine tracks which requests were running on upstreams that terminated. A request that
+// terminates every upstream that starts to run it is recognised when the caller retries it, and is
+// rejected for some time.
 package quarantine
 
 import (
@@ -9,14 +10,14 @@
 	"hash"
 )
 
-// Fingerprint stands for what a request asks. A caller that sends the same again under
-// another request id has the same fingerprint.
+// Fingerprint identifies the content of a request. A retry under another request ID has the same
+// fingerprint.
 type Fingerprint uint64
 
-// String is the fingerprint as lines write it.
+// String returns the fingerprint in the form used in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// Request is what a fingerprint is made of.
+// Request holds the parts of a request that its fingerprint covers.
 type Request struct {
 	Method       string
 	Host         string
@@ -25,9 +26,9 @@
 	Body         []byte
 }
 
-// Fingerprint returns the request's fingerprint. The hash is a cryptographic one, so that no
-// organisation can make a request that stands for another's: 0.7 µs for a body of 500 bytes,
-// 0.8 ms for one of 1 MiB (BenchmarkFingerprint).
+// Fingerprint returns the fingerprint of the request. It is a cryptographic hash, so that no
+// organisation can craft a request with the fingerprint of another organisation's request. Hashing
+// takes 0.7 µs for a body of 500 bytes and 0.8 ms for one of 1 MiB (BenchmarkFingerprint).
 func (r Request) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{r.Method, r.Host, r.Target, r.Organisation} {
@@ -38,7 +39,8 @@
 	return Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// writeLength keeps parts apart, so that no two requests share their bytes.
+// writeLength writes the length of a part before the part itself, so that different requests never
+// yield the same input to the hash.
 func writeLength(h hash.Hash, length int) {
 	h.Write(binary.AppendUvarint(nil, uint64(length)))
 }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -15,7 +15,7 @@
 		again.Body = []byte("x")
 		assert.Equal(t, base.Fingerprint(), again.Fingerprint())
 	})
-	t.Run("differs with each part, and with where one part ends", func(t *testing.T) {
+	t.Run("depends on each part and on the boundaries between parts", func(t *testing.T) {
 		seen := map[Fingerprint]bool{base.Fingerprint(): true}
 		for _, change := range []func(r *Request){
 			func(r *Request) { r.Method = "PUT" },
--- a/internal/quarantine/journal.go
+++ b/internal/quarantine/journal.go
@@ -6,44 +6,45 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// journalLength is how many news a ledger can at least tell other boxes: more than come
-// while a box misses a few rounds.
-const journalLength = 1024
+// minEventLogLength is the minimum number of recent events that a box keeps for other boxes. It
+// exceeds the number of events that occur while a box misses a few gossip rounds.
+const minEventLogLength = 1024
 
-// journal is the newest news in the order in which this box learnt them, numbered.
-type journal struct {
-	next int64
-	list []dated
+// eventLog holds the most recent events in the order in which this box learned of them. Events have
+// consecutive sequence numbers.
+type eventLog struct {
+	nextSeq int64
+	events  []loggedEvent
 }
 
-// dated is a piece of news and when it happened.
-type dated struct {
-	ending Ending
-	atMs   clock.Millis
+// loggedEvent is an event with the time at which it occurred.
+type loggedEvent struct {
+	event Ending
+	atMs  clock.Millis
 }
 
-func (j *journal) add(e Ending, at clock.Millis) {
-	j.list = append(j.list, dated{ending: e, atMs: at})
-	j.next++
-	if len(j.list) >= 2*journalLength {
-		// The older half goes at once, so that an addition costs little.
-		j.list = slices.Clone(j.list[len(j.list)-journalLength:])
+func (l *eventLog) add(e Ending, at clock.Millis) {
+	l.events = append(l.events, loggedEvent{event: e, atMs: at})
+	l.nextSeq++
+	if len(l.events) >= 2*minEventLogLength {
+		// The older half is dropped at once, which keeps the amortised cost of an addition low.
+		l.events = slices.Clone(l.events[len(l.events)-minEventLogLength:])
 	}
 }
 
-// since returns news from a number on, with their ages, and the number to go on from. A
-// number that this journal never gave means all.
-func (j *journal) since(from int64, most int, now clock.Millis) ([]Ending, int64) {
-	oldest := j.next - int64(len(j.list))
-	if from < oldest || from > j.next {
+// since returns at most limit events from a sequence number on, with their ages, and the sequence
+// number to continue from. A sequence number outside the log's range selects all events.
+func (l *eventLog) since(from int64, limit int, now clock.Millis) ([]Ending, int64) {
+	oldest := l.nextSeq - int64(len(l.events))
+	if from < oldest || from > l.nextSeq {
 		from = oldest
 	}
-	to := min(j.next, from+int64(most))
-	list := []Ending{}
-	for _, d := range j.list[from-oldest : to-oldest] {
-		e := d.ending
-		e.AgeMs = now - d.atMs
-		list = append(list, e)
+	to := min(l.nextSeq, from+int64(limit))
+	events := []Ending{}
+	for _, logged := range l.events[from-oldest : to-oldest] {
+		e := logged.event
+		e.AgeMs = now - logged.atMs
+		events = append(events, e)
 	}
-	return list, to
+	return events, to
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -10,94 +10,100 @@
 	"dooryard.example/dooryard/internal/namekey"
 )
 
-// Settings say when a fingerprint is held back. They may change.
+// Settings configure when a fingerprint is quarantined. They may change at run time.
 type Settings struct {
-	// Ends is under how many ended upstreams a fingerprint is held back; below 1 none is.
+	// Ends is the number of terminated upstreams from which a fingerprint is quarantined. Values
+	// below 1 disable the quarantine.
 	Ends int
-	// HoldMs is for how long after the newest end it is.
+	// HoldMs is how long a fingerprint stays quarantined after the latest termination.
 	HoldMs clock.Millis
 }
 
-// memoryMs is how long a fingerprint's ends are remembered after the newest: longer than it is
-// held back, so that one more end is enough for the next hold.
-func (s Settings) memoryMs() clock.Millis { return memoryHolds * s.HoldMs }
+// retentionMs is how long the terminations of a fingerprint are kept after the latest one. It is
+// longer than the quarantine, so that a single further termination starts the next quarantine.
+func (s Settings) retentionMs() clock.Millis { return retentionHolds * s.HoldMs }
 
-// Ending is what boxes tell each other: that an upstream ended under a fingerprint, or that
-// one answered it whole.
+// Ending is an event that boxes exchange: an upstream terminated while it ran a request with this
+// fingerprint, or an upstream answered such a request completely.
 type Ending struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint Fingerprint
-	// Upstream is the incarnation that ended.
+	// Upstream is the incarnation that terminated.
 	Upstream namekey.Key
-	// Answered is set when an upstream answered instead.
+	// Answered is set if an upstream answered the request completely.
 	Answered bool
-	// AgeMs is how long ago it was.
+	// AgeMs is the time since the event.
 	AgeMs clock.Millis
 }
 
-// Bounds of a ledger.
+// Limits of a ledger.
 const (
-	// maxFingerprints bounds the fingerprints that are remembered, some 0.2 KB each: an upstream
-	// that ends leaves as many as it ran, and a row of 45 of 112 engines left 540.
+	// maxFingerprints limits the number of fingerprints, which take about 0.2 KB each. A terminated
+	// upstream adds one fingerprint for each request that it ran; a series of 45 terminations among
+	// 112 engines added 540.
 	maxFingerprints = 4096
-	// memoryHolds is how many holds long ends are remembered.
-	memoryHolds = 2
-	// answeredMs is how long a fingerprint that was answered can't be what upstreams end
-	// under: those that end upstreams are never answered, and callers who ask the same
-	// again and again, as of a status, meet every end.
-	answeredMs = 60 * clock.Second
+	// retentionHolds is how long terminations are kept, as a multiple of the hold time.
+	retentionHolds = 2
+	// answeredGraceMs is how long terminations are not attributed to a fingerprint after it was
+	// answered. A request that terminates upstreams is never answered. Callers that repeat the same
+	// request often, such as a status poll, have one running whenever an upstream terminates.
+	answeredGraceMs = 60 * clock.Second
 )
 
-// Ledger holds under which fingerprints upstreams ended. A fingerprint that was answered since is
-// none of them. It is safe for concurrent use.
+// Ledger records the upstreams that terminated, by the fingerprints of the requests that they ran.
+// An answer clears the terminations of its fingerprint that precede it. A Ledger is safe for
+// concurrent use.
 //
-// A request that ends each upstream that begins to run it, and comes back again and again,
-// is sent on each time without it (20 of 20 tries); with it 3 of 40 tries are, at three boxes
-// in turn (TestFatalRequest). Each end breaks what else runs there, up to eleven streams in
-// lines of six boxes.
+// Without the ledger, a request that terminates every upstream that starts to run it and is retried
+// again and again is forwarded on each retry (20 of 20). With it, 3 of 40 retries are forwarded when
+// they go to three boxes in turn (TestFatalRequest). Each termination also breaks all other requests
+// on that upstream, up to eleven streams in the logs of six boxes.
 type Ledger struct {
 	steady   func() clock.Millis
 	settings func() Settings
 
 	mu           sync.Mutex
-	fingerprints map[Fingerprint]ends
+	fingerprints map[Fingerprint]terminations
 	answered     recent
-	news         journal
+	events       eventLog
 }
 
-// end is one upstream's end under a fingerprint.
-type end struct {
+// termination is the termination of one upstream while it ran a request with a fingerprint.
+type termination struct {
 	atMs clock.Millis
-	// told is set once it is among this box's news.
-	told bool
+	// published is set once the termination is in this box's event log.
+	published bool
 }
 
-// ends are the ends under a fingerprint, by the upstream's incarnation.
-type ends map[namekey.Key]end
+// terminations holds the terminations of one fingerprint by upstream incarnation.
+type terminations map[namekey.Key]termination
 
-// New returns an empty ledger. First is the number of its first news, greater than those
-// of the box's earlier processes.
-func New(steady func() clock.Millis, settings func() Settings, first int64) *Ledger {
+// New returns an empty ledger. firstSeq is the sequence number of its first event. It must be
+// greater than those that earlier processes of the box assigned.
+func New(steady func() clock.Millis, settings func() Settings, firstSeq int64) *Ledger {
 	return &Ledger{
-		steady: steady, settings: settings, fingerprints: map[Fingerprint]ends{}, answered: newRecent(),
-		news: journal{next: first},
+		steady: steady, settings: settings, fingerprints: map[Fingerprint]terminations{}, answered: newRecent(),
+		events: eventLog{nextSeq: firstSeq},
 	}
 }
 
-// Settings returns the settings in force.
+// Settings returns the current settings.
 func (l *Ledger) Settings() Settings { return l.settings() }
 
-// Ended takes in that an upstream ended under a fingerprint. It reports whether the fingerprint
-// is held back from now on.
+// Ended records that an upstream terminated while it ran a request with the fingerprint. It reports
+// whether this starts a quarantine of the fingerprint.
 func (l *Ledger) Ended(fingerprint Fingerprint, upstream namekey.Key) (held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.end(fingerprint, upstream, l.steady(), true)
+	return l.addTermination(fingerprint, upstream, l.steady(), true)
 }
 
-// end takes in an end; tell has it be among this box's news at once.
-func (l *Ledger) end(fingerprint Fingerprint, upstream namekey.Key, at clock.Millis, tell bool) (held bool) {
-	if l.answered.since(fingerprint, at-answeredMs) {
+// addTermination records a termination. If publish is set, the termination is added to this box's
+// event log at once.
+func (l *Ledger) addTermination(
+	fingerprint Fingerprint, upstream namekey.Key, at clock.Millis, publish bool,
+) (held bool) {
+	if l.answered.seenAfter(fingerprint, at-answeredGraceMs) {
 		return false
 	}
 	known := l.fingerprints[fingerprint]
@@ -105,87 +111,89 @@
 		return false
 	}
 	if known == nil {
-		l.makeRoom()
-		known = ends{}
+		l.evict()
+		known = terminations{}
 		l.fingerprints[fingerprint] = known
 	}
-	before := l.heldMs(known)
-	known[upstream] = end{atMs: at}
-	if tell || len(known) >= tellEnds {
-		l.tell(fingerprint, known)
+	before := l.remainingHoldMs(known)
+	known[upstream] = termination{atMs: at}
+	if publish || len(known) >= minRelayTerminations {
+		l.publish(fingerprint, known)
 	}
-	return before == 0 && l.heldMs(known) > 0
+	return before == 0 && l.remainingHoldMs(known) > 0
 }
 
-// tellEnds is from how many ends on a box passes on what others told it. Up to then the boxes
-// that saw an end tell all others by themselves: passing each on, 64 boxes sent 1,735 bytes each
-// for an end, and 84 so (TestEndingBytes).
-const tellEnds = 2
+// minRelayTerminations is the number of terminations of a fingerprint from which a box relays those
+// that it learned from other boxes. Below it, only the boxes that observed a termination publish it:
+// relaying every termination cost each of 64 boxes 1,735 bytes per termination instead of 84
+// (TestEndingBytes).
+const minRelayTerminations = 2
 
-// tell makes ends news that are not yet.
-func (l *Ledger) tell(fingerprint Fingerprint, known ends) {
+// publish adds the terminations that are not yet published to this box's event log.
+func (l *Ledger) publish(fingerprint Fingerprint, known terminations) {
 	for _, upstream := range slices.Sorted(maps.Keys(known)) {
 		e := known[upstream]
-		if e.told {
+		if e.published {
 			continue
 		}
-		l.news.add(Ending{Fingerprint: fingerprint, Upstream: upstream}, e.atMs)
-		known[upstream] = end{atMs: e.atMs, told: true}
+		l.events.add(Ending{Fingerprint: fingerprint, Upstream: upstream}, e.atMs)
+		known[upstream] = termination{atMs: e.atMs, published: true}
 	}
 }
 
-// Answered takes in that an upstream answered a fingerprint whole. It reports whether the
-// fingerprint was held back until now.
+// Answered records that an upstream answered a request with the fingerprint completely. It reports
+// whether this ends a quarantine of the fingerprint.
 func (l *Ledger) Answered(fingerprint Fingerprint) (released bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.answer(fingerprint, l.steady())
+	return l.clearAnswered(fingerprint, l.steady())
 }
 
-// answer voids the ends before an answer.
-func (l *Ledger) answer(fingerprint Fingerprint, at clock.Millis) (released bool) {
-	l.answered.note(fingerprint, at)
+// clearAnswered removes the terminations up to the time of an answer.
+func (l *Ledger) clearAnswered(fingerprint Fingerprint, at clock.Millis) (released bool) {
+	l.answered.record(fingerprint, at)
 	known := l.fingerprints[fingerprint]
-	before := l.heldMs(known)
+	before := l.remainingHoldMs(known)
 	count := len(known)
-	maps.DeleteFunc(known, func(_ namekey.Key, e end) bool { return e.atMs <= at })
+	maps.DeleteFunc(known, func(_ namekey.Key, e termination) bool { return e.atMs <= at })
 	if len(known) == count {
 		return false
 	}
 	if len(known) == 0 {
 		delete(l.fingerprints, fingerprint)
 	}
-	l.news.add(Ending{Fingerprint: fingerprint, Answered: true}, at)
-	return before > 0 && l.heldMs(known) == 0
+	l.events.add(Ending{Fingerprint: fingerprint, Answered: true}, at)
+	return before > 0 && l.remainingHoldMs(known) == 0
 }
 
-// Learn takes in what another box told. PassOn has it told to others in any case, as in a fleet
-// so large that no box tells all others. It returns what is held back from now on.
+// Learn merges events received from another box. If passOn is set, they are relayed in any case, as
+// needed in a fleet that is too large for each box to reach all others. It returns the fingerprints
+// whose quarantine this starts.
 func (l *Ledger) Learn(list []Ending, passOn bool) (held []Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now, memory := l.steady(), l.settings().memoryMs()
+	now, retention := l.steady(), l.settings().retentionMs()
 	for _, e := range list {
 		at := now - max(0, e.AgeMs)
 		switch {
-		case e.AgeMs >= memory:
+		case e.AgeMs >= retention:
 		case e.Answered:
-			l.answer(e.Fingerprint, at)
-		case l.end(e.Fingerprint, e.Upstream, at, passOn):
+			l.clearAnswered(e.Fingerprint, at)
+		case l.addTermination(e.Fingerprint, e.Upstream, at, passOn):
 			held = append(held, e.Fingerprint)
 		}
 	}
 	return held
 }
 
-// HeldMs is how much longer a fingerprint is held back, or 0.
+// HeldMs returns how much longer a fingerprint is quarantined, or 0.
 func (l *Ledger) HeldMs(fingerprint Fingerprint) clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.heldMs(l.fingerprints[fingerprint])
+	return l.remainingHoldMs(l.fingerprints[fingerprint])
 }
 
-func (l *Ledger) heldMs(known ends) clock.Millis {
+func (l *Ledger) remainingHoldMs(known terminations) clock.Millis {
 	s := l.settings()
 	if s.Ends < 1 || len(known) < s.Ends {
 		return 0
@@ -193,41 +201,42 @@
 	return max(0, known.newest()+s.HoldMs-l.steady())
 }
 
-// Since returns news from a number on, at most so much, and the number to go on from.
-func (l *Ledger) Since(from int64, most int) ([]Ending, int64) {
+// Since returns at most limit events from a sequence number on, and the sequence number to continue
+// from.
+func (l *Ledger) Since(from int64, limit int) ([]Ending, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.news.since(from, most, l.steady())
+	return l.events.since(from, limit, l.steady())
 }
 
-// Suspect is a fingerprint under which upstreams ended.
+// Suspect is a fingerprint with the upstreams that terminated while they ran it.
 type Suspect struct {
 	Fingerprint Fingerprint
-	// Upstreams are the incarnations that ended under it.
+	// Upstreams lists the incarnations that terminated.
 	Upstreams []namekey.Key
-	// AgeMs is how long ago the newest of them ended.
+	// AgeMs is the time since the latest termination.
 	AgeMs clock.Millis
 }
 
-// Held returns all fingerprints that are held back, in order.
+// Held returns all quarantined fingerprints in ascending order.
 func (l *Ledger) Held() []Suspect {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.suspects(func(known ends) bool { return l.heldMs(known) > 0 })
+	return l.suspects(func(known terminations) bool { return l.remainingHoldMs(known) > 0 })
 }
 
-// Suspects returns all fingerprints under which so many upstreams ended at least, in order.
-func (l *Ledger) Suspects(least int) []Suspect {
+// Suspects returns all fingerprints with at least minUpstreams terminations in ascending order.
+func (l *Ledger) Suspects(minUpstreams int) []Suspect {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.suspects(func(known ends) bool { return len(known) >= least })
+	return l.suspects(func(known terminations) bool { return len(known) >= minUpstreams })
 }
 
-func (l *Ledger) suspects(wanted func(known ends) bool) []Suspect {
+func (l *Ledger) suspects(match func(known terminations) bool) []Suspect {
 	list := []Suspect{}
 	now := l.steady()
 	for fingerprint, known := range l.fingerprints {
-		if wanted(known) {
+		if match(known) {
 			list = append(list, Suspect{
 				Fingerprint: fingerprint, Upstreams: slices.Sorted(maps.Keys(known)), AgeMs: now - known.newest(),
 			})
@@ -237,22 +246,23 @@
 	return list
 }
 
-// Expire forgets fingerprints whose ends are long ago.
+// Expire removes fingerprints whose latest termination is older than the retention time.
 func (l *Ledger) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	oldest := l.steady() - l.settings().memoryMs()
-	maps.DeleteFunc(l.fingerprints, func(_ Fingerprint, known ends) bool { return known.newest() <= oldest })
+	oldest := l.steady() - l.settings().retentionMs()
+	maps.DeleteFunc(l.fingerprints, func(_ Fingerprint, known terminations) bool { return known.newest() <= oldest })
 }
 
-// Sizes are counts for metrics.
+// Sizes holds the sizes of a ledger for metrics.
 type Sizes struct {
-	// Fingerprints is under how many fingerprints upstreams ended, Held how many are held back.
+	// Fingerprints is the number of fingerprints with terminations, Held the number of those in
+	// quarantine.
 	Fingerprints int `json:"fingerprints"`
 	Held         int `json:"held"`
 }
 
-// Sizes returns counts for metrics.
+// Sizes returns the sizes of the ledger for metrics.
 func (l *Ledger) Sizes() Sizes {
 	held := len(l.Held())
 	l.mu.Lock()
@@ -260,26 +270,27 @@
 	return Sizes{Fingerprints: len(l.fingerprints), Held: held}
 }
 
-// makeRoom keeps the ledger within its bound: those with the fewest ends go first, and
-// among them the oldest.
-func (l *Ledger) makeRoom() {
+// evict keeps the ledger within its limit. It removes fingerprints with the fewest terminations
+// first and, among those, the oldest.
+func (l *Ledger) evict() {
 	if len(l.fingerprints) < maxFingerprints {
 		return
 	}
-	order := slices.SortedFunc(maps.Keys(l.fingerprints), func(a, b Fingerprint) int {
+	evictionOrder := slices.SortedFunc(maps.Keys(l.fingerprints), func(a, b Fingerprint) int {
 		x, y := l.fingerprints[a], l.fingerprints[b]
 		return cmp.Or(cmp.Compare(len(x), len(y)), cmp.Compare(x.newest(), y.newest()))
 	})
-	// Half goes at once, so that a long row costs one sorting now and then.
-	for _, fingerprint := range order[:maxFingerprints/2] {
+	// Half of the entries are removed at once, so that a long series of terminations rarely needs
+	// sorting.
+	for _, fingerprint := range evictionOrder[:maxFingerprints/2] {
 		delete(l.fingerprints, fingerprint)
 	}
 }
 
-func (e ends) newest() clock.Millis {
+func (e terminations) newest() clock.Millis {
 	newest := clock.Millis(0)
-	for _, one := range e {
-		newest = max(newest, one.atMs)
+	for _, t := range e {
+		newest = max(newest, t.atMs)
 	}
 	return newest
 }
--- a/internal/quarantine/recent.go
+++ b/internal/quarantine/recent.go
@@ -2,31 +2,31 @@
 
 import "dooryard.example/dooryard/internal/clock"
 
-// maxRecent bounds the fingerprints of one generation: of 40 requests a second that are
-// answered, those of the last minute.
-const maxRecent = 2400
+// maxGenerationSize limits the number of fingerprints in one generation. It holds those of the last
+// minute at 40 answered requests per second.
+const maxGenerationSize = 2400
 
-// recent remembers when fingerprints were last seen, the newest of them, in two generations.
+// recent records when fingerprints were last seen. It keeps the most recent ones in two generations.
 type recent struct {
-	young, old map[Fingerprint]clock.Millis
+	current, previous map[Fingerprint]clock.Millis
 }
 
 func newRecent() recent {
-	return recent{young: map[Fingerprint]clock.Millis{}, old: map[Fingerprint]clock.Millis{}}
+	return recent{current: map[Fingerprint]clock.Millis{}, previous: map[Fingerprint]clock.Millis{}}
 }
 
-func (r *recent) note(fingerprint Fingerprint, at clock.Millis) {
-	if len(r.young) >= maxRecent {
-		r.old, r.young = r.young, make(map[Fingerprint]clock.Millis, maxRecent)
+func (r *recent) record(fingerprint Fingerprint, at clock.Millis) {
+	if len(r.current) >= maxGenerationSize {
+		r.previous, r.current = r.current, make(map[Fingerprint]clock.Millis, maxGenerationSize)
 	}
-	r.young[fingerprint] = max(at, r.young[fingerprint])
+	r.current[fingerprint] = max(at, r.current[fingerprint])
 }
 
-// since reports whether a fingerprint was seen after an instant.
-func (r *recent) since(fingerprint Fingerprint, after clock.Millis) bool {
-	at, known := r.young[fingerprint]
+// seenAfter reports whether a fingerprint was seen after the given time.
+func (r *recent) seenAfter(fingerprint Fingerprint, after clock.Millis) bool {
+	at, known := r.current[fingerprint]
 	if !known {
-		at, known = r.old[fingerprint]
+		at, known = r.previous[fingerprint]
 	}
 	return known && at > after
 }
