--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -68,15 +68,15 @@
 	events       eventLog
 }
 
-// termination is the termination of one upstream while it ran a request with a fingerprint.
-type termination struct {
+// record describes the termination of one upstream while it ran a request with a fingerprint.
+type record struct {
 	atMs clock.Millis
 	// published is set once the termination is in this box's event log.
 	published bool
 }
 
 // terminations holds the terminations of one fingerprint by upstream incarnation.
-type terminations map[namekey.Key]termination
+type terminations map[namekey.Key]record
 
 // New returns an empty ledger. firstSeq is the sequence number of its first event. It must be
 // greater than those that earlier processes of the box assigned.
@@ -95,14 +95,12 @@
 func (l *Ledger) Ended(fingerprint Fingerprint, upstream namekey.Key) (held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.addTermination(fingerprint, upstream, l.steady(), true)
+	return l.record(fingerprint, upstream, l.steady(), true)
 }
 
-// addTermination records a termination. If publish is set, the termination is added to this box's
+// record records a termination. If publish is set, the termination is added to this box's
 // event log at once.
-func (l *Ledger) addTermination(
-	fingerprint Fingerprint, upstream namekey.Key, at clock.Millis, publish bool,
-) (held bool) {
+func (l *Ledger) record(fingerprint Fingerprint, upstream namekey.Key, at clock.Millis, publish bool) (held bool) {
 	if l.answered.seenAfter(fingerprint, at-answeredGraceMs) {
 		return false
 	}
@@ -116,7 +114,7 @@
 		l.fingerprints[fingerprint] = known
 	}
 	before := l.remainingHoldMs(known)
-	known[upstream] = termination{atMs: at}
+	known[upstream] = record{atMs: at}
 	if publish || len(known) >= minRelayTerminations {
 		l.publish(fingerprint, known)
 	}
@@ -137,7 +135,7 @@
 			continue
 		}
 		l.events.add(Ending{Fingerprint: fingerprint, Upstream: upstream}, e.atMs)
-		known[upstream] = termination{atMs: e.atMs, published: true}
+		known[upstream] = record{atMs: e.atMs, published: true}
 	}
 }
 
@@ -151,11 +149,11 @@
 
 // clearAnswered removes the terminations up to the time of an answer.
 func (l *Ledger) clearAnswered(fingerprint Fingerprint, at clock.Millis) (released bool) {
-	l.answered.record(fingerprint, at)
+	l.answered.mark(fingerprint, at)
 	known := l.fingerprints[fingerprint]
 	before := l.remainingHoldMs(known)
 	count := len(known)
-	maps.DeleteFunc(known, func(_ namekey.Key, e termination) bool { return e.atMs <= at })
+	maps.DeleteFunc(known, func(_ namekey.Key, e record) bool { return e.atMs <= at })
 	if len(known) == count {
 		return false
 	}
@@ -179,7 +177,7 @@
 		case e.AgeMs >= retention:
 		case e.Answered:
 			l.clearAnswered(e.Fingerprint, at)
-		case l.addTermination(e.Fingerprint, e.Upstream, at, passOn):
+		case l.record(e.Fingerprint, e.Upstream, at, passOn):
 			held = append(held, e.Fingerprint)
 		}
 	}
--- a/internal/quarantine/recent.go
+++ b/internal/quarantine/recent.go
@@ -15,7 +15,7 @@
 	return recent{current: map[Fingerprint]clock.Millis{}, previous: map[Fingerprint]clock.Millis{}}
 }
 
-func (r *recent) record(fingerprint Fingerprint, at clock.Millis) {
+func (r *recent) mark(fingerprint Fingerprint, at clock.Millis) {
 	if len(r.current) >= maxGenerationSize {
 		r.previous, r.current = r.current, make(map[Fingerprint]clock.Millis, maxGenerationSize)
 	}
