--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,6 +1,6 @@
-// Package upstream sends opaque requests to upstreams over HTTP/1.1, one at a
-// time on a connection, and knows of each failed one whether any byte of it may
-// have left. Nothing is ever sent twice by this package.
+// Package upstream sends opaque requests to upstreams over HTTP/1.1, one at a time on each
+// connection. For each failed request it reports whether any byte of it may have been sent. The
+// package never retries a request.
 package upstream
 
 import (
@@ -18,51 +18,51 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Errors of an attempt, beside those of the connection.
+// Errors of an attempt, in addition to those of the connection.
 var (
-	// ErrUnreachable means that no connection opened: nothing was sent.
+	// ErrUnreachable means that no connection could be opened, so nothing was sent.
 	ErrUnreachable = errors.New("upstream unreachable")
-	// ErrNotSent means that nothing of the request was written.
+	// ErrNotSent means that no byte of the request was written.
 	ErrNotSent = errors.New("request not sent")
-	// ErrBroken means that the connection broke after something of the request
-	// may have left and before a whole answer came.
+	// ErrBroken means that the connection broke after a part of the request may have been sent and
+	// before the complete response was received.
 	ErrBroken = errors.New("connection broke")
-	// ErrForeignAnswer means that only answers to other requests came.
-	ErrForeignAnswer = errors.New("answer belongs to another request")
+	// ErrResponseMismatch means that only responses to other requests were received.
+	ErrResponseMismatch = errors.New("response belongs to another request")
 )
 
-// NothingSent reports whether an error of Do proves that no byte of the request
-// reached the upstream.
+// NothingSent reports whether an error of Do proves that no byte of the request reached the
+// upstream.
 func NothingSent(err error) bool {
 	return errors.Is(err, ErrUnreachable) || errors.Is(err, ErrNotSent)
 }
 
-// Defaults of the settings.
+// Timeouts and limits of a client.
 const (
-	// defaultConnectMs is fifty times a round trip between failure domains, and
-	// less than what callers notice.
-	defaultConnectMs = 200
-	// defaultUnackedMs is how long sent bytes may stay without an
-	// acknowledgement: long enough for two lost packets in a row.
-	defaultUnackedMs = 700
-	// defaultIdleMs is how long an idle connection is kept when the upstream
-	// promises nothing.
-	defaultIdleMs = 4000
-	// idleMarginMs is taken off the upstream's promise: a request must arrive
-	// before the upstream's own timer ends.
+	// connectTimeoutMs is fifty round trips between failure domains, and too short for callers to
+	// notice.
+	connectTimeoutMs = 200
+	// unackedTimeoutMs is how long sent bytes may remain unacknowledged. It tolerates the loss of
+	// two consecutive packets.
+	unackedTimeoutMs = 700
+	// defaultIdleTimeoutMs is how long an idle connection is kept if the upstream announces no
+	// timeout.
+	defaultIdleTimeoutMs = 4000
+	// idleMarginMs is subtracted from the announced timeout, because a request must arrive before
+	// the upstream's own timer expires.
 	idleMarginMs = 300
-	// maxIdle is how many idle connections are kept to one upstream.
-	maxIdle = 16
-	// maxForeign is how many answers to other requests are passed over.
-	maxForeign = 2
-	// maxForeignBytes is the longest of those.
-	maxForeignBytes = 1 << 20
+	// maxIdleConns is the maximum number of idle connections to one upstream.
+	maxIdleConns = 16
+	// maxMismatched is the maximum number of responses to other requests that are skipped.
+	maxMismatched = 2
+	// maxMismatchedBytes is the maximum body size of a skipped response.
+	maxMismatchedBytes = 1 << 20
 )
 
-// Dial opens a connection; tests replace it.
+// Dial opens a connection. Tests replace it.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client keeps the connections to one upstream. It is safe for concurrent use.
+// Client manages the connections to one upstream. It is safe for concurrent use.
 type Client struct {
 	address string
 	steady  func() clock.Millis
@@ -74,16 +74,16 @@
 	onDial func()
 }
 
-// Option changes a Client under construction.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithDial replaces the opening of connections.
+// WithDial replaces the function that opens connections.
 func WithDial(dial Dial) Option { return func(c *Client) { c.dial = dial } }
 
-// WithOnDial sets a function that is called for each connection that opened.
+// WithOnDial sets a function that is called for each connection that was opened.
 func WithOnDial(call func()) Option { return func(c *Client) { c.onDial = call } }
 
-// New returns a client of the upstream at an address.
+// New returns a client for the upstream at an address.
 func New(address string, steady func() clock.Millis, options ...Option) *Client {
 	c := &Client{address: address, steady: steady, dial: systemDial, onDial: func() {}}
 	for _, option := range options {
@@ -92,11 +92,11 @@
 	return c
 }
 
-// systemDial opens connections that end by themselves when the other side stops
-// to acknowledge: a box without power or behind a cut says nothing.
+// systemDial opens connections that time out when the peer stops acknowledging data, because a box
+// that lost power or is behind a network partition never closes them.
 func systemDial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{
-		Timeout: defaultConnectMs * time.Millisecond,
+		Timeout: connectTimeoutMs * time.Millisecond,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: time.Second, Interval: time.Second, Count: 2,
 		},
@@ -105,7 +105,7 @@
 	return dialer.DialContext(ctx, network, address)
 }
 
-// Close ends the idle connections; running requests finish on theirs.
+// Close closes the idle connections. Requests in flight finish on their own connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	idle := c.idle
@@ -115,7 +115,7 @@
 	closeAll(idle)
 }
 
-// CloseIdle ends the idle connections, as when they are likely dead.
+// CloseIdle closes the idle connections, for example when they are probably dead.
 func (c *Client) CloseIdle() {
 	c.mu.Lock()
 	idle := c.idle
@@ -124,33 +124,33 @@
 	closeAll(idle)
 }
 
-// CloseExpired ends idle connections that the upstream is about to close.
+// CloseExpired closes the idle connections that the upstream is about to close.
 func (c *Client) CloseExpired() {
 	now := c.steady()
 	c.mu.Lock()
-	kept := c.idle[:0]
+	remaining := c.idle[:0]
 	var expired []*conn
-	for _, one := range c.idle {
-		if now < one.idleUntilMs {
-			kept = append(kept, one)
+	for _, cn := range c.idle {
+		if now < cn.idleUntilMs {
+			remaining = append(remaining, cn)
 			continue
 		}
-		expired = append(expired, one)
+		expired = append(expired, cn)
 	}
-	c.idle = kept
+	c.idle = remaining
 	c.mu.Unlock()
 	closeAll(expired)
 }
 
 func closeAll(conns []*conn) {
-	for _, one := range conns {
-		// Nothing is in flight on an idle connection.
-		_ = one.Close()
+	for _, cn := range conns {
+		// The error is ignored because nothing is in flight on an idle connection.
+		_ = cn.Close()
 	}
 }
 
-// take returns a usable idle connection, newest first, or nil.
-func (c *Client) take() *conn {
+// popIdle returns the usable idle connection that was added last, or nil.
+func (c *Client) popIdle() *conn {
 	for {
 		c.mu.Lock()
 		if len(c.idle) == 0 {
@@ -158,51 +158,52 @@
 			return nil
 		}
 		last := len(c.idle) - 1
-		one := c.idle[last]
+		cn := c.idle[last]
 		c.idle = c.idle[:last]
 		c.mu.Unlock()
-		if c.steady() < one.idleUntilMs && one.clean() {
-			return one
+		if c.steady() < cn.idleUntilMs && cn.reusable() {
+			return cn
 		}
-		_ = one.Close()
+		_ = cn.Close()
 	}
 }
 
-// give keeps a connection for the next request.
-func (c *Client) give(one *conn, header http.Header) {
-	span, promised := idleSpan(header)
-	if !promised {
-		span = defaultIdleMs + idleMarginMs
+// putIdle returns a connection to the pool after a response.
+func (c *Client) putIdle(cn *conn, header http.Header) {
+	timeout, announced := keepAliveTimeout(header)
+	if !announced {
+		timeout = defaultIdleTimeoutMs + idleMarginMs
 	}
-	c.keep(one, span-idleMarginMs)
+	c.keepIdle(cn, timeout-idleMarginMs)
 }
 
-// giveBack keeps a connection that was not used as long as it would have been kept.
-func (c *Client) giveBack(one *conn) {
-	if one.idleUntilMs == 0 {
-		c.keep(one, defaultIdleMs)
+// putUnused returns a connection that was not used to the pool without extending its idle timeout.
+func (c *Client) putUnused(cn *conn) {
+	if cn.idleUntilMs == 0 {
+		c.keepIdle(cn, defaultIdleTimeoutMs)
 		return
 	}
-	c.keep(one, one.idleUntilMs-c.steady())
+	c.keepIdle(cn, cn.idleUntilMs-c.steady())
 }
 
-// keep keeps a connection for a span.
-func (c *Client) keep(one *conn, span clock.Millis) {
-	one.idleUntilMs = c.steady() + span
+// keepIdle adds a connection to the pool for the given duration. It closes the connection instead if
+// the client is closed, the duration has passed or the pool is full.
+func (c *Client) keepIdle(cn *conn, timeout clock.Millis) {
+	cn.idleUntilMs = c.steady() + timeout
 	c.mu.Lock()
-	keep := !c.closed && span > 0 && len(c.idle) < maxIdle
-	if keep {
-		c.idle = append(c.idle, one)
+	keepIdle := !c.closed && timeout > 0 && len(c.idle) < maxIdleConns
+	if keepIdle {
+		c.idle = append(c.idle, cn)
 	}
 	c.mu.Unlock()
-	if !keep {
-		_ = one.Close()
+	if !keepIdle {
+		_ = cn.Close()
 	}
 }
 
 func (c *Client) connect(ctx context.Context) (*conn, error) {
-	if one := c.take(); one != nil {
-		return one, nil
+	if cn := c.popIdle(); cn != nil {
+		return cn, nil
 	}
 	raw, err := c.dial(ctx, "tcp", c.address)
 	if err != nil {
@@ -212,42 +213,42 @@
 	return newConn(raw), nil
 }
 
-// ReachMs is how long Reach waits for a connection: some thirty round trips between
-// failure domains.
+// ReachMs is how long Reach waits for a connection, about thirty round trips between failure
+// domains.
 const ReachMs clock.Millis = 100
 
-// Reach reports whether the upstream's host answers. A connection that opens is kept for
-// the next request; one that is refused shows that the host is there.
+// Reach reports whether the upstream's host responds. If a connection opens, it is kept for the next
+// request. A refused connection also shows that the host is up.
 func (c *Client) Reach(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, ReachMs.Duration())
 	defer cancel()
 	raw, err := c.dial(ctx, "tcp", c.address)
 	if err != nil {
-		return !silence(err)
+		return !noResponse(err)
 	}
 	c.onDial()
-	c.keep(newConn(raw), defaultIdleMs)
+	c.keepIdle(newConn(raw), defaultIdleTimeoutMs)
 	return true
 }
 
-// Liveness is what a connection shows of an upstream's process.
+// Liveness is the state of an upstream's process as seen by a connection attempt.
 type Liveness int
 
-// Findings on an upstream's process.
+// States of an upstream's process.
 const (
-	// Alive takes connections.
+	// Alive means that the process accepts connections.
 	Alive Liveness = iota
-	// Ended has a host that refuses them.
+	// Ended means that the host is up and refuses connections.
 	Ended
-	// Silent says nothing.
+	// Silent means that the connection attempt failed in any other way, such as by a timeout.
 	Silent
 )
 
-// Liveness finds out whether the upstream's process is there. A connection that opens is kept
-// for the next request, and none is opened while an idle one is well.
+// Liveness determines whether the upstream's process is running. If a connection opens, it is kept
+// for the next request. No connection is opened while a usable idle one exists.
 func (c *Client) Liveness(ctx context.Context) Liveness {
-	if one := c.take(); one != nil {
-		c.giveBack(one)
+	if cn := c.popIdle(); cn != nil {
+		c.putUnused(cn)
 		return Alive
 	}
 	ctx, cancel := context.WithTimeout(ctx, ReachMs.Duration())
@@ -260,53 +261,53 @@
 		return Silent
 	}
 	c.onDial()
-	c.keep(newConn(raw), defaultIdleMs)
+	c.keepIdle(newConn(raw), defaultIdleTimeoutMs)
 	return Alive
 }
 
-// silence reports whether an error of a dial is that nobody answered.
-func silence(err error) bool {
+// noResponse reports whether a dial error means that the host did not respond.
+func noResponse(err error) bool {
 	var netErr net.Error
 	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout() ||
 		errors.Is(err, unix.EHOSTUNREACH) || errors.Is(err, unix.ENETUNREACH)
 }
 
-// Do sends a request and returns the head of its answer. The context bounds the
-// whole, the answer's body included; when it ends, the connection closes. The
-// caller closes the answer.
+// Do sends a request and returns the header of its response. The context covers the whole exchange
+// including the response body; when it is done, the connection is closed. The caller must close the
+// response.
 func (c *Client) Do(ctx context.Context, r *Request) (*Answer, error) {
-	one, err := c.connect(ctx)
+	cn, err := c.connect(ctx)
 	if err != nil {
 		return nil, err
 	}
 	if err := r.maySend(); err != nil {
-		c.giveBack(one)
+		c.putUnused(cn)
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	x := &flight{client: c, conn: one, request: r}
-	x.unwatch = context.AfterFunc(ctx, func() { _ = one.Close() })
-	answer, err := x.run()
+	rt := &roundTrip{client: c, conn: cn, request: r}
+	rt.stopWatch = context.AfterFunc(ctx, func() { _ = cn.Close() })
+	answer, err := rt.run()
 	if err != nil {
-		x.drop()
+		rt.abort()
 		return nil, err
 	}
 	return answer, nil
 }
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged.
+// setUserTimeout limits how long sent bytes may remain unacknowledged.
 func setUserTimeout(_, _ string, raw rawConn) error {
 	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, defaultUnackedMs)
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, unackedTimeoutMs)
 	})
 	return errors.Join(err, setErr)
 }
 
-// drain reads the rest of a body that nobody wants.
-func drain(body io.Reader) error {
-	n, err := io.Copy(io.Discard, io.LimitReader(body, maxForeignBytes+1))
-	if err == nil && n > maxForeignBytes {
-		return ErrForeignAnswer
+// discardBody reads and discards the rest of the body of a skipped response.
+func discardBody(body io.Reader) error {
+	n, err := io.Copy(io.Discard, io.LimitReader(body, maxMismatchedBytes+1))
+	if err == nil && n > maxMismatchedBytes {
+		return ErrResponseMismatch
 	}
 	return err
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -16,21 +16,20 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// script is an upstream that answers each request on a connection in turn with
-// raw bytes; after the last one it closes.
-type script struct {
+// testUpstream is an upstream that accepts connections on a local TCP port.
+type testUpstream struct {
 	listener net.Listener
 	requests chan *http.Request
 	conns    chan net.Conn
 }
 
-// serve starts an upstream on a real socket, as idle connections are looked at
-// below the net package.
-func serve(t *testing.T, answer func(conn net.Conn, requests *bufio.Reader)) *script {
+// startUpstream starts an upstream on a real socket, because the check of idle connections uses
+// system calls below the net package.
+func startUpstream(t *testing.T, handle func(conn net.Conn, requests *bufio.Reader)) *testUpstream {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &script{listener: listener, requests: make(chan *http.Request, 16), conns: make(chan net.Conn, 16)}
+	s := &testUpstream{listener: listener, requests: make(chan *http.Request, 16), conns: make(chan net.Conn, 16)}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -38,19 +37,20 @@
 				return
 			}
 			s.conns <- conn
-			go answer(conn, bufio.NewReader(conn))
+			go handle(conn, bufio.NewReader(conn))
 		}
 	}()
 	t.Cleanup(func() { _ = listener.Close() })
 	return s
 }
 
-func (s *script) client() *Client {
+func (s *testUpstream) client() *Client {
 	return New(s.listener.Addr().String(), clock.New().Steady)
 }
 
-// each answers every request with the next of the raw answers.
-func each(answers ...string) func(conn net.Conn, requests *bufio.Reader) {
+// respondEach sends the next of the raw responses to each request. After the last one it closes the
+// connection at the next request or when the client closes it.
+func respondEach(answers ...string) func(conn net.Conn, requests *bufio.Reader) {
 	return func(conn net.Conn, requests *bufio.Reader) {
 		defer func() { _ = conn.Close() }()
 		for _, answer := range answers {
@@ -72,12 +72,12 @@
 	}
 }
 
-func whole(id, body string) string {
+func okResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// reset closes a connection with a reset.
-func reset(conn net.Conn) {
+// closeWithReset closes a connection with a TCP reset.
+func closeWithReset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -98,8 +98,8 @@
 }
 
 func TestDo(t *testing.T) {
-	t.Run("uses a connection again after a whole answer", func(t *testing.T) {
-		s := serve(t, each(whole("1", "one"), whole("2", "two")))
+	t.Run("reuses a connection after a complete response", func(t *testing.T) {
+		s := startUpstream(t, respondEach(okResponse("1", "one"), okResponse("2", "two")))
 		c := s.client()
 		for id, want := range []string{"one", "two"} {
 			body, err := readAll(t, c, request(itoa(id+1)))
@@ -108,8 +108,8 @@
 		}
 		assert.Len(t, s.conns, 1)
 	})
-	t.Run("sends nothing that may not be sent any more, and keeps the connection", func(t *testing.T) {
-		s := serve(t, each(whole("2", "two")))
+	t.Run("sends nothing when MaySend fails, and keeps the connection", func(t *testing.T) {
+		s := startUpstream(t, respondEach(okResponse("2", "two")))
 		c := s.client()
 		late := request("1")
 		errLate := errors.New("late")
@@ -123,9 +123,9 @@
 		assert.Len(t, s.conns, 1)
 		assert.Empty(t, s.requests)
 	})
-	t.Run("keeps a connection that it did not use no longer than the upstream promised", func(t *testing.T) {
-		promising := strings.Replace(whole("1", "one"), "\r\n\r\n", "\r\nKeep-Alive: timeout=1\r\n\r\n", 1)
-		s := serve(t, each(promising, whole("1", "two")))
+	t.Run("does not extend the idle timeout of a connection that it did not use", func(t *testing.T) {
+		withTimeout := strings.Replace(okResponse("1", "one"), "\r\n\r\n", "\r\nKeep-Alive: timeout=1\r\n\r\n", 1)
+		s := startUpstream(t, respondEach(withTimeout, okResponse("1", "two")))
 		now := clock.Millis(1)
 		c := New(s.listener.Addr().String(), func() clock.Millis { return now })
 		_, err := readAll(t, c, request("1"))
@@ -137,28 +137,28 @@
 		now += clock.Second
 		_, err = readAll(t, c, request("1"))
 		require.NoError(t, err)
-		assert.Len(t, s.conns, 2, "the first one is about to be closed by the upstream")
+		assert.Len(t, s.conns, 2, "the idle timeout of the first connection has expired")
 	})
-	t.Run("passes over provisional answers", func(t *testing.T) {
-		s := serve(t, each("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+whole("1", "one")))
+	t.Run("skips interim responses", func(t *testing.T) {
+		s := startUpstream(t, respondEach("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+okResponse("1", "one")))
 		body, err := readAll(t, s.client(), request("1"))
 		require.NoError(t, err)
 		assert.Equal(t, "one", body)
 	})
-	t.Run("passes over a surplus answer to an earlier request", func(t *testing.T) {
-		s := serve(t, each(whole("0", "old")+whole("1", "one")))
+	t.Run("skips a surplus response to an earlier request", func(t *testing.T) {
+		s := startUpstream(t, respondEach(okResponse("0", "old")+okResponse("1", "one")))
 		body, err := readAll(t, s.client(), request("1"))
 		require.NoError(t, err)
 		assert.Equal(t, "one", body)
 	})
-	t.Run("gives up on answers that are all foreign, and says it may have run", func(t *testing.T) {
-		s := serve(t, each(whole("0", "a")+whole("0", "b")+whole("0", "c")))
+	t.Run("fails after too many responses to other requests, and reports that the request may have run", func(t *testing.T) {
+		s := startUpstream(t, respondEach(okResponse("0", "a")+okResponse("0", "b")+okResponse("0", "c")))
 		_, err := readAll(t, s.client(), request("1"))
-		require.ErrorIs(t, err, ErrForeignAnswer)
+		require.ErrorIs(t, err, ErrResponseMismatch)
 		assert.False(t, NothingSent(err))
 	})
-	t.Run("an answer without a length ends with its connection", func(t *testing.T) {
-		s := serve(t, func(conn net.Conn, requests *bufio.Reader) {
+	t.Run("a response without a length ends when the connection is closed", func(t *testing.T) {
+		s := startUpstream(t, func(conn net.Conn, requests *bufio.Reader) {
 			_, _ = http.ReadRequest(requests)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nall of it")
 			_, _ = io.CopyN(io.Discard, requests, 4)
@@ -168,17 +168,17 @@
 		require.NoError(t, err)
 		assert.Equal(t, "all of it", body)
 	})
-	t.Run("an answer without a length that is reset is not whole", func(t *testing.T) {
-		s := serve(t, func(conn net.Conn, requests *bufio.Reader) {
+	t.Run("a response without a length is incomplete after a reset", func(t *testing.T) {
+		s := startUpstream(t, func(conn net.Conn, requests *bufio.Reader) {
 			_, _ = http.ReadRequest(requests)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\npart")
-			reset(conn)
+			closeWithReset(conn)
 		})
 		_, err := readAll(t, s.client(), request("1"))
 		require.ErrorIs(t, err, ErrBroken)
 	})
-	t.Run("a cut answer is not whole", func(t *testing.T) {
-		s := serve(t, each("HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 9\r\n\r\npart"))
+	t.Run("a truncated response is incomplete", func(t *testing.T) {
+		s := startUpstream(t, respondEach("HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 9\r\n\r\npart"))
 		c := s.client()
 		answer, err := c.Do(t.Context(), request("1"))
 		require.NoError(t, err)
@@ -188,23 +188,23 @@
 		answer.Close()
 		assert.Empty(t, c.idle)
 	})
-	t.Run("bytes that are no answer break the attempt", func(t *testing.T) {
-		s := serve(t, each("no answer at all\r\n\r\n"))
+	t.Run("a malformed response breaks the attempt", func(t *testing.T) {
+		s := startUpstream(t, respondEach("no answer at all\r\n\r\n"))
 		_, err := readAll(t, s.client(), request("1"))
 		require.ErrorIs(t, err, ErrBroken)
 	})
 }
 
 func TestNothingSent(t *testing.T) {
-	t.Run("is proved when no connection opens", func(t *testing.T) {
-		s := serve(t, each())
+	t.Run("is true when no connection opens", func(t *testing.T) {
+		s := startUpstream(t, respondEach())
 		require.NoError(t, s.listener.Close())
 		_, err := readAll(t, s.client(), request("1"))
 		assert.True(t, NothingSent(err))
 		require.ErrorIs(t, err, ErrUnreachable)
 	})
-	t.Run("is not claimed once the request was written", func(t *testing.T) {
-		s := serve(t, func(conn net.Conn, requests *bufio.Reader) {
+	t.Run("is false once the request was written", func(t *testing.T) {
+		s := startUpstream(t, func(conn net.Conn, requests *bufio.Reader) {
 			_, _ = http.ReadRequest(requests)
 			_ = conn.Close()
 		})
@@ -212,7 +212,7 @@
 		require.ErrorIs(t, err, ErrBroken)
 		assert.False(t, NothingSent(err))
 	})
-	t.Run("is proved when the header can't be written", func(t *testing.T) {
+	t.Run("is true when the header can't be written", func(t *testing.T) {
 		refused := errors.New("refused")
 		c := New("127.0.0.1:1", clock.New().Steady, WithDial(
 			func(context.Context, string, string) (net.Conn, error) { return brokenConn{err: refused}, nil }))
@@ -222,7 +222,7 @@
 	})
 }
 
-// brokenConn fails each write before any byte left.
+// brokenConn fails each write before any byte is sent.
 type brokenConn struct {
 	net.Conn
 	err error
@@ -233,28 +233,28 @@
 func (brokenConn) Close() error { return nil }
 
 func TestIdleConnections(t *testing.T) {
-	t.Run("one with bytes that nobody asked for is not used again", func(t *testing.T) {
-		s := serve(t, each(whole("1", "one"), whole("2", "two")))
+	t.Run("a connection with unsolicited bytes is not reused", func(t *testing.T) {
+		s := startUpstream(t, respondEach(okResponse("1", "one"), okResponse("2", "two")))
 		c := s.client()
 		_, err := readAll(t, c, request("1"))
 		require.NoError(t, err)
-		_, err = io.WriteString(<-s.conns, whole("9", "late"))
+		_, err = io.WriteString(<-s.conns, okResponse("9", "late"))
 		require.NoError(t, err)
 		waitReadable(t, c.idle[0])
-		assert.Nil(t, c.take())
+		assert.Nil(t, c.popIdle())
 	})
-	t.Run("one that the upstream closed is not used again", func(t *testing.T) {
-		s := serve(t, each(whole("1", "one")))
+	t.Run("a connection that the upstream closed is not reused", func(t *testing.T) {
+		s := startUpstream(t, respondEach(okResponse("1", "one")))
 		c := s.client()
 		_, err := readAll(t, c, request("1"))
 		require.NoError(t, err)
 		require.NoError(t, (<-s.conns).Close())
 		waitReadable(t, c.idle[0])
-		assert.Nil(t, c.take())
+		assert.Nil(t, c.popIdle())
 	})
-	t.Run("one is kept no longer than the upstream promises", func(t *testing.T) {
+	t.Run("a connection is kept no longer than the upstream announces", func(t *testing.T) {
 		now := clock.Millis(1000)
-		s := serve(t, each("HTTP/1.1 200 OK\r\nX-Id: 1\r\nKeep-Alive: timeout=2\r\nContent-Length: 0\r\n\r\n"))
+		s := startUpstream(t, respondEach("HTTP/1.1 200 OK\r\nX-Id: 1\r\nKeep-Alive: timeout=2\r\nContent-Length: 0\r\n\r\n"))
 		c := New(s.listener.Addr().String(), func() clock.Millis { return now })
 		_, err := readAll(t, c, request("1"))
 		require.NoError(t, err)
@@ -263,17 +263,17 @@
 		c.CloseExpired()
 		assert.Empty(t, c.idle)
 	})
-	t.Run("one is not kept when the answer says close", func(t *testing.T) {
-		s := serve(t, each("HTTP/1.1 200 OK\r\nX-Id: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
+	t.Run("a connection is not kept after Connection: close", func(t *testing.T) {
+		s := startUpstream(t, respondEach("HTTP/1.1 200 OK\r\nX-Id: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
 		c := s.client()
 		_, err := readAll(t, c, request("1"))
 		require.NoError(t, err)
 		assert.Empty(t, c.idle)
 	})
-	t.Run("one whose request body was not read whole is not used again", func(t *testing.T) {
-		s := serve(t, func(conn net.Conn, requests *bufio.Reader) {
+	t.Run("a connection whose request body was not read completely is not reused", func(t *testing.T) {
+		s := startUpstream(t, func(conn net.Conn, requests *bufio.Reader) {
 			_, _ = http.ReadRequest(requests)
-			_, _ = io.WriteString(conn, whole("1", "early"))
+			_, _ = io.WriteString(conn, okResponse("1", "early"))
 		})
 		c := s.client()
 		long := request("1")
@@ -285,8 +285,7 @@
 	})
 }
 
-// waitReadable waits until the kernel has something to read on a connection,
-// without reading it.
+// waitReadable waits until the kernel has data to read on a connection, without reading it.
 func waitReadable(t *testing.T, c *conn) {
 	t.Helper()
 	tcp, ok := c.Conn.(*net.TCPConn)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,24 +12,23 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// conn is one connection to an upstream. It carries one request at a time.
+// conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// idleUntilMs is the steady instant from which the upstream may close the
-	// connection by itself.
+	// idleUntilMs is the monotonic time from which the upstream may close the idle connection.
 	idleUntilMs clock.Millis
 }
 
-const readerBytes = 2048
+const readBufferBytes = 2048
 
 func newConn(c net.Conn) *conn {
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readerBytes)}
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferBytes)}
 }
 
-// clean reports whether an idle connection is open and has nothing to read. Bytes
-// that came unasked belong to no request, so such a connection is not used again.
-func (c *conn) clean() bool {
+// reusable reports whether an idle connection is open and has no data to read. Unsolicited bytes
+// belong to no request, so a connection that received some is not reused.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -41,19 +40,19 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = control.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, readErr := syscall.Read(int(fd), one[:])
-		quiet = errors.Is(readErr, syscall.EAGAIN)
+		empty = errors.Is(readErr, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// idleSpan returns how long the upstream promises to keep an idle connection
-// open, from the Keep-Alive header of its answer.
-func idleSpan(header http.Header) (clock.Millis, bool) {
+// keepAliveTimeout returns how long the upstream promises to keep an idle connection open, according
+// to the Keep-Alive header of its response.
+func keepAliveTimeout(header http.Header) (clock.Millis, bool) {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/internal/upstream/flight.go
+++ b/internal/upstream/flight.go
@@ -12,21 +12,21 @@
 	"syscall"
 )
 
-// rawConn is what a dialer's control function gets.
+// rawConn is the connection that a dialer's control function receives.
 type rawConn = syscall.RawConn
 
-// Request is an opaque request. Header holds everything but Host and the length.
+// Request is an opaque request. Header holds all headers except Host and Content-Length.
 type Request struct {
 	Method string
-	// Target is the path and query as the caller wrote them.
+	// Target is the path and query exactly as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaySend is asked once a connection is there, right before the first byte; an error
-	// leaves the request unsent. Nil asks nobody.
+	// MaySend is called after a connection was obtained and right before the first byte is written.
+	// If it returns an error, the request is not sent. It may be nil.
 	MaySend func() error
-	// Mine reports whether an answer belongs to this request, from its head.
+	// Mine reports whether a response with the given header belongs to this request.
 	Mine func(header http.Header) bool
 }
 
@@ -37,7 +37,7 @@
 	return r.MaySend()
 }
 
-// head returns the bytes before the body.
+// head returns the request line and the headers.
 func (r *Request) head() ([]byte, error) {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -51,53 +51,54 @@
 	return b.Bytes(), nil
 }
 
-// flight is one request on its connection.
-type flight struct {
-	client  *Client
-	conn    *conn
-	request *Request
-	unwatch func() bool
-	// written is set once the whole request was handed to the connection.
+// roundTrip is the exchange of one request and its response on a connection.
+type roundTrip struct {
+	client    *Client
+	conn      *conn
+	request   *Request
+	stopWatch func() bool
+	// written is set once the whole request was written to the connection.
 	written atomic.Bool
 }
 
-// inlineBytes is the longest request that is written before the answer is
-// read: it fits into the send buffer of a new connection.
-const inlineBytes = 8 << 10
+// maxInlineBytes is the size up to which a request is written completely before the response is
+// read. Requests of this size fit into the send buffer of a new connection.
+const maxInlineBytes = 8 << 10
 
-func (x *flight) run() (*Answer, error) {
-	head, err := x.request.head()
+func (rt *roundTrip) run() (*Answer, error) {
+	head, err := rt.request.head()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	if err := x.send(head); err != nil {
+	if err := rt.send(head); err != nil {
 		return nil, err
 	}
-	return x.receive()
+	return rt.receive()
 }
 
-// send writes the request. A long body is written beside the reading of the
-// answer, since the upstream may answer before it has read all of it.
-func (x *flight) send(head []byte) error {
-	if len(head)+len(x.request.Body) <= inlineBytes {
-		n, err := x.conn.Write(append(head, x.request.Body...))
-		x.written.Store(err == nil)
-		return x.sendError(n, err)
+// send writes the request. A long body is written concurrently with reading the response, because
+// the upstream may respond before it has read the whole body.
+func (rt *roundTrip) send(head []byte) error {
+	if len(head)+len(rt.request.Body) <= maxInlineBytes {
+		n, err := rt.conn.Write(append(head, rt.request.Body...))
+		rt.written.Store(err == nil)
+		return rt.sendError(n, err)
 	}
-	if n, err := x.conn.Write(head); err != nil {
-		return x.sendError(n, err)
+	if n, err := rt.conn.Write(head); err != nil {
+		return rt.sendError(n, err)
 	}
 	go func() {
-		_, err := x.conn.Write(x.request.Body)
-		// A failed write shows as a failed read, or the answer came early.
-		x.written.Store(err == nil)
+		_, err := rt.conn.Write(rt.request.Body)
+		// A write error needs no handling here: either reading the response fails too, or the
+		// upstream responded before it read the whole body.
+		rt.written.Store(err == nil)
 	}()
 	return nil
 }
 
-// sendError says what a failed write proves. An upstream may have answered
-// before it closed, so what was sent in part is left to the read.
-func (x *flight) sendError(n int, err error) error {
+// sendError classifies a write error. After a partial write the upstream may have received the
+// request, and it may even have responded before it closed the connection.
+func (rt *roundTrip) sendError(n int, err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -108,64 +109,65 @@
 	}
 }
 
-// receive reads the head of the answer. Provisional answers and, on a kept
-// connection, surplus answers to earlier requests are passed over.
-func (x *flight) receive() (*Answer, error) {
-	foreign := 0
+// receive reads the header of the response. It skips interim (1xx) responses and, on a reused
+// connection, surplus responses to earlier requests.
+func (rt *roundTrip) receive() (*Answer, error) {
+	mismatched := 0
 	for {
-		response, err := x.readHead() //nolint:bodyclose // It is read to its end, or closed with the connection.
+		response, err := rt.readHead() //nolint:bodyclose // It is read to its end, or closed with the connection.
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrBroken, err)
 		}
 		switch {
 		case response.StatusCode < http.StatusOK && response.StatusCode != http.StatusSwitchingProtocols:
-		case x.request.Mine(response.Header):
-			return &Answer{Response: response, flight: x}, nil
-		case foreign == maxForeign || !framed(response):
-			return nil, fmt.Errorf("%w: status %d", ErrForeignAnswer, response.StatusCode)
+		case rt.request.Mine(response.Header):
+			return &Answer{Response: response, roundTrip: rt}, nil
+		case mismatched == maxMismatched || !selfDelimited(response):
+			return nil, fmt.Errorf("%w: status %d", ErrResponseMismatch, response.StatusCode)
 		default:
-			foreign++
-			if err := drain(response.Body); err != nil {
-				return nil, fmt.Errorf("%w: %w", ErrForeignAnswer, err)
+			mismatched++
+			if err := discardBody(response.Body); err != nil {
+				return nil, fmt.Errorf("%w: %w", ErrResponseMismatch, err)
 			}
 		}
 	}
 }
 
-// readHead reads one answer's head.
-func (x *flight) readHead() (*http.Response, error) {
-	return http.ReadResponse(x.conn.reader, &http.Request{Method: x.request.Method})
+// readHead reads the status line and headers of one response.
+func (rt *roundTrip) readHead() (*http.Response, error) {
+	return http.ReadResponse(rt.conn.reader, &http.Request{Method: rt.request.Method})
 }
 
-// framed reports whether the answer's end shows without the connection's end.
-func framed(response *http.Response) bool {
+// selfDelimited reports whether the end of the response is known without the connection being
+// closed.
+func selfDelimited(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
-// drop closes the connection.
-func (x *flight) drop() {
-	x.unwatch()
-	_ = x.conn.Close()
+// abort closes the connection.
+func (rt *roundTrip) abort() {
+	rt.stopWatch()
+	_ = rt.conn.Close()
 }
 
-// Answer is the head of an answer, and its body as it comes.
+// Answer is a response whose body is streamed.
 type Answer struct {
 	*http.Response
-	flight *flight
-	ended  bool
-	failed bool
-	done   bool
+	roundTrip *roundTrip
+	eof       bool
+	failed    bool
+	closed    bool
 }
 
-// Read reads from the body. At the end of a whole body it returns io.EOF, and
-// after a cut one an error that is ErrBroken.
+// Read reads from the body. It returns io.EOF at the end of a complete body and an error that wraps
+// ErrBroken if the body was truncated.
 func (a *Answer) Read(part []byte) (int, error) {
 	n, err := a.Body.Read(part)
 	switch {
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF):
-		a.ended = true
+		a.eof = true
 		return n, io.EOF
 	default:
 		a.failed = true
@@ -173,22 +175,21 @@
 	}
 }
 
-// Close gives the connection back when it can carry another request, and else
-// closes it.
+// Close returns the connection to the pool if it can be reused, and closes it otherwise.
 func (a *Answer) Close() {
-	if a.done {
+	if a.closed {
 		return
 	}
-	a.done = true
-	x := a.flight
-	watched := x.unwatch()
-	reusable := watched && a.ended && !a.failed && framed(a.Response) && !a.Response.Close &&
-		x.written.Load() && x.conn.reader.Buffered() == 0
+	a.closed = true
+	rt := a.roundTrip
+	stopped := rt.stopWatch()
+	reusable := stopped && a.eof && !a.failed && selfDelimited(a.Response) && !a.Response.Close &&
+		rt.written.Load() && rt.conn.reader.Buffered() == 0
 	if !reusable {
-		_ = x.conn.Close()
+		_ = rt.conn.Close()
 		return
 	}
-	x.client.give(x.conn, a.Header)
+	rt.client.putIdle(rt.conn, a.Header)
 }
 
 var _ net.Conn = (*conn)(nil)
