--- a/internal/pool/lease.go
+++ b/internal/pool/lease.go
@@ -8,37 +8,38 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// Lease is the right to send one attempt to an upstream. Release it once.
+// Lease permits one attempt on an upstream. Release must be called once.
 type Lease struct {
-	// Row is the upstream as the table had it when the lease was given.
+	// Row is the upstream's row of the routing table at the time of the lease.
 	Row *table.Upstream
-	// Remote is set when the upstream is a box of another failure domain; it
-	// adds what the peers' listener asks for.
+	// Remote is set if the upstream is a box of another failure domain. It adds the headers that the
+	// listener for peers requires.
 	Remote func(header http.Header)
-	// Scheme is http, or https to a box whose peers' listener speaks TLS.
+	// Scheme is http, or https for a box whose listener for peers uses TLS.
 	Scheme string
 
-	// after is called after the release with what this box still has there.
-	after    func(held int)
-	manager  *Manager
-	judged   func(failed bool)
-	poolName string
-	released bool
+	// afterRelease is called after the release with the number of requests that this box still has
+	// on the upstream.
+	afterRelease func(held int)
+	manager      *Manager
+	onResult     func(failed bool)
+	poolName     string
+	released     bool
 }
 
-// NewRemoteLease returns a lease on a box of another failure domain, which no
-// pool counts. Judged hears how its attempt ended.
-func NewRemoteLease(box, address string, remote func(header http.Header), judged func(failed bool)) *Lease {
+// NewRemoteLease returns a lease on a box of another failure domain, which is not part of any pool.
+// onResult is called with whether the attempt failed.
+func NewRemoteLease(box, address string, remote func(header http.Header), onResult func(failed bool)) *Lease {
 	return &Lease{
-		Row: &table.Upstream{Name: box, Address: address}, Remote: remote, judged: judged, Scheme: "http",
+		Row: &table.Upstream{Name: box, Address: address}, Remote: remote, onResult: onResult, Scheme: "http",
 	}
 }
 
-// Tried names the upstreams that one request has had a lease on.
+// Tried lists the names of the upstreams that a request has had a lease on.
 type Tried []string
 
-// Acquire picks an upstream for a key. It wraps route.ErrNoUpstream or
-// route.ErrSaturated when there is none.
+// Acquire picks an upstream for a key and returns a lease on it. The error wraps route.ErrNoUpstream
+// or route.ErrSaturated if there is none.
 func (m *Manager) Acquire(poolName string, key route.Key, tried Tried) (*Lease, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -60,32 +61,32 @@
 	return &Lease{Row: u.row, manager: m, poolName: p.name, Scheme: "http"}
 }
 
-// Release gives the lease back and counts the result for the upstream's health.
+// Release returns the lease and records the result for the upstream's health.
 func (l *Lease) Release(result Result) {
 	if l.manager == nil {
-		l.judged(result == Failed || result == Unreachable)
+		l.onResult(result == Failed || result == Unreachable)
 		return
 	}
-	if held, first := l.manager.giveBack(l, result); first && l.after != nil {
-		l.after(held)
+	if held, firstRelease := l.manager.releaseOnce(l, result); firstRelease && l.afterRelease != nil {
+		l.afterRelease(held)
 	}
 }
 
-// giveBack returns what this box still has on the lease's upstream, and false
-// when the lease was given back before.
-func (m *Manager) giveBack(l *Lease, result Result) (held int, first bool) {
+// releaseOnce returns the number of requests that this box still has on the lease's upstream. It
+// returns false if the lease was already released.
+func (m *Manager) releaseOnce(l *Lease, result Result) (held int, firstRelease bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if l.released {
 		return 0, false
 	}
 	l.released = true
-	held = m.release(l)
-	m.judge(l.Row.Name, result)
+	held = m.decrement(l)
+	m.recordResult(l.Row.Name, result)
 	return held, true
 }
 
-func (m *Manager) release(l *Lease) (held int) {
+func (m *Manager) decrement(l *Lease) (held int) {
 	if u := m.upstreams[l.Row.Name]; u != nil && u.used > 0 {
 		u.addUsed(-1)
 	}
@@ -93,9 +94,9 @@
 	if p == nil {
 		return 0
 	}
-	if at := p.position(l.Row.Name); at >= 0 {
-		p.view.Add(at, -1)
-		return p.view.Members[at].InFlight
+	if index := p.position(l.Row.Name); index >= 0 {
+		p.view.Add(index, -1)
+		return p.view.Members[index].InFlight
 	}
 	p.inFlight[l.Row.Name]--
 	return p.inFlight[l.Row.Name]
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -11,7 +11,7 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// Member is one upstream in one pool, with the box that counts what runs there.
+// Member is an upstream in a pool, with the box that owns it, which counts the requests on it.
 type Member struct {
 	Name  string
 	Place grant.Place
@@ -19,8 +19,8 @@
 	Owner string
 }
 
-// entries names a pool's members on the wire and picks their owners: each box that
-// sees the same live boxes picks the same.
+// entries returns the members of a pool with the IDs of their places on the wire and their owners.
+// All boxes that see the same live boxes select the same owners.
 func (m *Manager) entries(p *pool) []Member {
 	hashes := make([]uint64, len(m.fleet.Boxes))
 	for i, box := range m.fleet.Boxes {
@@ -30,27 +30,27 @@
 	for i, u := range p.members {
 		hash := route.HashName(p.name + "/" + u.row.Name)
 		entries[i] = Member{Name: u.row.Name, Place: grant.Place(hash)}
-		if first := route.First(route.Key(hash), hashes); first >= 0 {
-			entries[i].Owner = m.fleet.Boxes[first]
+		if owner := route.First(route.Key(hash), hashes); owner >= 0 {
+			entries[i].Owner = m.fleet.Boxes[owner]
 		}
 		m.places[entries[i].Place] = place{pool: p, position: i}
 	}
 	return entries
 }
 
-// Ranking is a pool's upstreams in the order of their rank for a key.
+// Ranking holds the upstreams of a pool ordered by their rank for a key.
 type Ranking struct {
-	// First is the first choice, even if it takes nothing now.
+	// First is the highest-ranked upstream, even if it doesn't accept new work at the moment.
 	First Member
-	// Open are the first ranks that take new work.
+	// Open lists the highest-ranked upstreams that accept new work.
 	Open []Member
 }
 
-// rankedChoices is how many of the first ranks a request may ask for.
-const rankedChoices = 6
+// maxRankedChoices is the number of ranks that are considered for a request.
+const maxRankedChoices = 6
 
-// Rank returns a pool's first ranks for a key, without those that were tried.
-// It wraps route.ErrNoUpstream when none takes new work.
+// Rank returns the highest-ranked upstreams of a pool for a key. Open excludes those in tried. The
+// error wraps route.ErrNoUpstream if no upstream accepts new work.
 func (m *Manager) Rank(poolName string, key route.Key, tried Tried) (Ranking, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -58,7 +58,7 @@
 	if p == nil {
 		return Ranking{}, fmt.Errorf("%w: %s", route.ErrNoUpstream, poolName)
 	}
-	positions := [rankedChoices]int{}
+	positions := [maxRankedChoices]int{}
 	ranking := Ranking{Open: make([]Member, 0, len(positions))}
 	excluded := p.positions(tried)
 	for i, position := range p.view.Ranked(key, positions[:0]) {
@@ -70,13 +70,14 @@
 		}
 	}
 	if len(ranking.Open) == 0 {
-		return ranking, m.anyOpen(p, excluded, &ranking)
+		return ranking, m.addAllOpen(p, excluded, &ranking)
 	}
 	return ranking, nil
 }
 
-// anyOpen fills a ranking whose first ranks are all closed.
-func (m *Manager) anyOpen(p *pool, excluded route.Tried, ranking *Ranking) error {
+// addAllOpen adds all upstreams of the pool that accept new work to a ranking whose first ranks
+// accept none.
+func (m *Manager) addAllOpen(p *pool, excluded route.Tried, ranking *Ranking) error {
 	for position := range p.members {
 		if p.view.Usable(position, excluded) {
 			ranking.Open = append(ranking.Open, p.entries[position])
@@ -88,19 +89,19 @@
 	return nil
 }
 
-// Reservation is a lease that counts already, with what this box then runs.
+// Reservation is a lease that is already counted, with the resulting load of this box.
 type Reservation struct {
 	Lease *Lease
-	// Held is what this box has on the upstream for this pool.
+	// Held is the number of requests that this box has on the upstream for this pool.
 	Held int
-	// Total is what it has on the whole pool.
+	// Total is the number of requests that this box has on the whole pool.
 	Total int
-	// WithinOwnBound reports whether this box's part of the load bound holds.
+	// WithinOwnBound reports whether the upstream was within this box's share of the load bound.
 	WithinOwnBound bool
 }
 
-// Reserve takes a lease on an upstream by name. It returns false when the
-// upstream is gone from the pool.
+// Reserve returns a lease on the upstream with the given name. It returns false if the upstream is
+// no longer in the pool.
 func (m *Manager) Reserve(poolName, name string) (Reservation, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -108,26 +109,26 @@
 	if p == nil {
 		return Reservation{}, false
 	}
-	at := p.position(name)
-	if at < 0 {
+	index := p.position(name)
+	if index < 0 {
 		return Reservation{}, false
 	}
-	within := p.view.WithinOwnBound(at)
-	lease := m.lease(p, at)
+	within := p.view.WithinOwnBound(index)
+	lease := m.lease(p, index)
 	return Reservation{
-		Lease: lease, Held: p.view.Members[at].InFlight, Total: p.view.Total(), WithinOwnBound: within,
+		Lease: lease, Held: p.view.Members[index].InFlight, Total: p.view.Total(), WithinOwnBound: within,
 	}, true
 }
 
-// AfterRelease has a function called when the lease is given back, with what
-// this box still has on the upstream.
-func (l *Lease) AfterRelease(after func(held int)) { l.after = after }
+// AfterRelease sets a function that is called when the lease is released, with the number of
+// requests that this box still has on the upstream.
+func (l *Lease) AfterRelease(afterRelease func(held int)) { l.afterRelease = afterRelease }
 
-// Standing returns how a place stands in its pool, for its owner.
-func (m *Manager) Standing(wanted grant.Place) (grant.Standing, bool) {
+// Standing returns the state of a place in its pool, as its owner needs it.
+func (m *Manager) Standing(placeID grant.Place) (grant.Standing, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	found, known := m.places[wanted]
+	found, known := m.places[placeID]
 	if !known {
 		return grant.Standing{}, false
 	}
@@ -139,7 +140,7 @@
 	}, true
 }
 
-// Owned returns the engines in the table that this box owns in any pool.
+// Owned returns the engines of the table that this box owns in at least one pool.
 func (m *Manager) Owned() []*table.Upstream {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,33 +157,33 @@
 	})
 }
 
-// Owner returns the box that owns a place now, or "".
-func (m *Manager) Owner(wanted grant.Place) string {
+// Owner returns the name of the box that currently owns a place, or "" if the place is unknown.
+func (m *Manager) Owner(placeID grant.Place) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if found, known := m.places[wanted]; known {
+	if found, known := m.places[placeID]; known {
 		return found.pool.entries[found.position].Owner
 	}
 	return ""
 }
 
-// Use is what this box runs on one member.
-type Use struct {
+// Usage is the load of this box on one member.
+type Usage struct {
 	Member Member
 	Held   int
 }
 
-// InUse returns the entries on which this box runs anything.
-func (m *Manager) InUse() []Use {
+// InUse returns the members on which this box has requests in flight.
+func (m *Manager) InUse() []Usage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	uses := []Use{}
+	usages := []Usage{}
 	for _, p := range m.pools {
 		for position, member := range p.entries {
 			if held := p.view.Members[position].InFlight; held > 0 {
-				uses = append(uses, Use{Member: member, Held: held})
+				usages = append(usages, Usage{Member: member, Held: held})
 			}
 		}
 	}
-	return uses
+	return usages
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool holds the upstreams of this failure domain as this box sees
-// them, one pool for each model or service, and counts what runs on each.
+// Package pool manages the upstreams of this failure domain as seen by this box. There is one pool
+// per model or service. It counts the requests that this box has in flight on each upstream.
 package pool
 
 import (
@@ -16,7 +16,7 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// Settings are the limits of a Manager.
+// Settings configure a Manager.
 type Settings struct {
 	Policy       route.Policy
 	BoundPercent int
@@ -25,28 +25,28 @@
 	Health       health.Limits
 }
 
-// Fleet is what membership says, as far as pools depend on it.
+// Fleet is the part of the membership state that pools depend on.
 type Fleet struct {
-	// Boxes are the live boxes of this failure domain, this one included.
+	// Boxes lists the live boxes of this failure domain, including this one.
 	Boxes []string
-	// Leaving are upstreams that are about to go, by name.
+	// Leaving holds the names of upstreams that are about to shut down.
 	Leaving map[string]bool
 }
 
-// Result is how an attempt on an upstream ended, for its health.
+// Result is the outcome of an attempt on an upstream with regard to the upstream's health.
 type Result int
 
 // Results of an attempt.
 const (
-	// Neutral says nothing about the upstream's health.
+	// Neutral doesn't affect the upstream's health.
 	Neutral Result = iota
 	Succeeded
 	Failed
-	// Unreachable is a failure to open a connection.
+	// Unreachable means that no connection could be opened.
 	Unreachable
 )
 
-// upstream is the state of one upstream, shared by all pools it is in.
+// upstream is the state of an upstream. It is shared by all pools that contain the upstream.
 type upstream struct {
 	row      *table.Upstream
 	joinedMs clock.Millis
@@ -54,19 +54,20 @@
 	used     int
 	reported int
 	places   []place
-	// leaving and models are what the upstream last said of itself; models is
-	// nil until it did.
+	// leaving and models are the upstream's last report about itself. models is nil before the first
+	// report.
 	leaving bool
 	models  []string
 }
 
-// place is a position in a pool's view.
+// place is a position in the view of a pool.
 type place struct {
 	pool     *pool
 	position int
 }
 
-// closed reports whether the upstream said that it takes no new work of the pool.
+// closed reports whether the upstream accepts no new work of the pool, because it is leaving or
+// draining or no longer has the pool's model loaded.
 func (p place) closed() bool {
 	u := p.pool.members[p.position]
 	if u.leaving || u.row.Draining {
@@ -85,7 +86,7 @@
 	inFlight map[string]int
 }
 
-// Manager holds all pools of a box. It is safe for concurrent use.
+// Manager manages all pools of a box. It is safe for concurrent use.
 type Manager struct {
 	settings Settings
 	domain   string
@@ -111,10 +112,10 @@
 	}
 }
 
-// Name is the name of the pool for a target of a kind.
+// Name returns the name of the pool for a target of a kind.
 func Name(kind, target string) string { return kind + "/" + target }
 
-// SetTable takes a newer table into force.
+// SetTable applies a newer table.
 func (m *Manager) SetTable(state *table.State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -122,7 +123,7 @@
 	m.rebuild()
 }
 
-// SetFleet takes a newer view of membership into force.
+// SetFleet applies a newer state of the membership.
 func (m *Manager) SetFleet(fleet Fleet) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,7 +131,7 @@
 	m.rebuild()
 }
 
-// rebuild makes the pools anew, keeping counts and health by name.
+// rebuild rebuilds all pools. Counts and health are carried over by name.
 func (m *Manager) rebuild() {
 	now := m.now()
 	counts := map[string]map[string]int{}
@@ -154,29 +155,29 @@
 	return counts
 }
 
-// collect refreshes the upstreams from the table and returns them by pool.
+// collect updates the upstreams from the table and returns them by pool.
 func (m *Manager) collect(now clock.Millis) map[string][]*upstream {
-	kept := map[string]*upstream{}
+	current := map[string]*upstream{}
 	byPool := map[string][]*upstream{}
 	for _, row := range m.state.Upstreams() {
 		if row.FailureDomain != m.domain {
 			continue
 		}
-		u := m.keep(row, now)
+		u := m.upsert(row, now)
 		u.places = nil
-		kept[row.Name] = u
+		current[row.Name] = u
 		for _, target := range row.Serves {
 			name := Name(row.Kind, target)
 			byPool[name] = append(byPool[name], u)
 		}
 	}
-	m.upstreams = kept
+	m.upstreams = current
 	return byPool
 }
 
-// keep returns the state of an upstream that is in the table. One that joins
-// after the first table starts slowly; one at a new address is a new one.
-func (m *Manager) keep(row *table.Upstream, now clock.Millis) *upstream {
+// upsert returns the state of an upstream that is in the table. An upstream that joins after the
+// first table gets a slow start. An upstream with a new address is treated as a new one.
+func (m *Manager) upsert(row *table.Upstream, now clock.Millis) *upstream {
 	old := m.upstreams[row.Name]
 	if old == nil || old.row.Address != row.Address {
 		joined := now
@@ -241,21 +242,21 @@
 func (p *pool) positions(names Tried) route.Tried {
 	tried := route.Tried{}
 	for _, name := range names {
-		if at := p.position(name); at >= 0 {
-			tried = tried.With(at)
+		if index := p.position(name); index >= 0 {
+			tried = tried.With(index)
 		}
 	}
 	return tried
 }
 
 func (p *pool) position(name string) int {
-	at, found := slices.BinarySearchFunc(p.members, name, func(u *upstream, name string) int {
+	index, found := slices.BinarySearchFunc(p.members, name, func(u *upstream, name string) int {
 		return strings.Compare(u.row.Name, name)
 	})
 	if !found {
 		return -1
 	}
-	return at
+	return index
 }
 
 func (u *upstream) addUsed(change int) {
@@ -265,7 +266,7 @@
 	}
 }
 
-func (m *Manager) judge(name string, result Result) {
+func (m *Manager) recordResult(name string, result Result) {
 	u := m.upstreams[name]
 	if u == nil {
 		return
@@ -283,8 +284,8 @@
 	m.refresh(u, m.now())
 }
 
-// Refresh brings slow starts and ended ejections up to date; call it each
-// second.
+// Refresh updates the weights of upstreams in slow start and ends expired ejections. It must be
+// called once per second.
 func (m *Manager) Refresh() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -303,7 +304,7 @@
 	}
 }
 
-// Report takes in an upstream's own count of what it runs.
+// Report records an upstream's own count of its requests in flight.
 func (m *Manager) Report(name string, inFlight int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -317,7 +318,7 @@
 	}
 }
 
-// ReportState takes in whether an engine leaves and which models it has loaded.
+// ReportState records whether an engine is leaving and which models it has loaded.
 func (m *Manager) ReportState(name string, leaving bool, models []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -329,7 +330,7 @@
 	u.models = append([]string{}, models...)
 }
 
-// Load is what this box has in flight on one upstream.
+// Load is the state of an upstream with the number of requests that this box has in flight on it.
 type Load struct {
 	Name     string `json:"name"`
 	Address  string `json:"address"`
@@ -340,7 +341,7 @@
 	Leaving  bool   `json:"leaving"`
 }
 
-// Loads returns the state of all upstreams, by name.
+// Loads returns the state of all upstreams, sorted by name.
 func (m *Manager) Loads() []Load {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -357,7 +358,7 @@
 	return loads
 }
 
-// Explain returns how the pool ranks its members for a key now.
+// Explain returns how the pool currently ranks its members for a key.
 func (m *Manager) Explain(poolName string, key route.Key) ([]route.Explanation, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -372,7 +373,7 @@
 	return ranking, nil
 }
 
-// Capacity returns this box's part of a pool's slots, for the queue in front.
+// Capacity returns this box's share of the slots of a pool. It sizes the queue in front of the pool.
 func (m *Manager) Capacity(poolName string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -389,7 +390,7 @@
 
 const half = 0.5
 
-// SetSlots takes in who uses the slots of this failure domain's engines.
+// SetSlots records how the boxes use the slots of this failure domain's engines.
 func (m *Manager) SetSlots(slots limit.Slots) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
