--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -96,7 +96,8 @@
 	Held int
 	// Total is the number of requests that this box has on the whole pool.
 	Total int
-	// WithinOwnBound reports whether the upstream was within this box's share of the load bound.
+	// WithinOwnBound reports whether this lease keeps the upstream within this box's share of the load
+	// bound.
 	WithinOwnBound bool
 }
 
@@ -157,7 +158,7 @@
 	})
 }
 
-// Owner returns the name of the box that currently owns a place, or "" if the place is unknown.
+// Owner returns the name of the box that currently owns a place, or "" if there is none.
 func (m *Manager) Owner(placeID grant.Place) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
