--- a/internal/opaque/refusal.go
+++ b/internal/opaque/refusal.go
@@ -15,7 +15,7 @@
 
 // ErrCut reports a response that was started and can't be completed. The connection to the caller
 // must be closed abnormally, so that the caller doesn't take the response for a complete one.
-var ErrCut = errors.New("answer cut")
+var ErrCut = errors.New("response truncated")
 
 // Cause is the reason why a request ended without an upstream's response. It is used in metrics and
 // logs.
