--- a/internal/prompt/prompt.go
+++ b/internal/prompt/prompt.go
@@ -1,21 +1,21 @@
-// Package prompt holds what a request brings an engine to read, as the parts that
-// its caller names, and what boxes tell each other of engines that keep them.
+// Package prompt describes prompts by the parts that callers name, and the messages in which boxes
+// tell each other which engines have parts cached.
 package prompt
 
 import "dooryard.example/dooryard/internal/namekey"
 
-// Part is one piece of a prompt. Parts that come first are shared with other
-// requests; an engine that keeps a part and all before it need not read it again.
+// Part is a part of a prompt. Leading parts are shared with other requests. An engine that has a
+// part and all parts before it cached does not have to process them again.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is a list of parts in order.
+// Prompt is an ordered list of parts.
 type Prompt []Part
 
-// Session is the part that decides where the request goes: the last one that is
-// shared with other requests.
+// Session returns the ID of the part by which the request is routed: the last part that is shared
+// with other requests, or the only part.
 func (p Prompt) Session() string {
 	switch len(p) {
 	case 0:
@@ -27,7 +27,7 @@
 	}
 }
 
-// Shared returns the parts that other requests may share: all but the last.
+// Shared returns the parts that other requests may share, which are all but the last one.
 func (p Prompt) Shared() Prompt {
 	if len(p) < 2 {
 		return nil
@@ -35,13 +35,13 @@
 	return p[:len(p)-1]
 }
 
-// Keyed is a part by its key.
+// Keyed is a part identified by the key of its ID.
 type Keyed struct {
 	Key    namekey.Key
 	Tokens int
 }
 
-// Keyed returns the parts by their keys.
+// Keyed returns the parts with the keys of their IDs.
 func (p Prompt) Keyed() []Keyed {
 	keyed := make([]Keyed, len(p))
 	for i, part := range p {
@@ -50,8 +50,8 @@
 	return keyed
 }
 
-// Kept says that an engine keeps a part of a prompt and all parts before it. It is a
-// hint: the engine may have dropped the part since, or two names have one key.
+// Kept states that an engine has a part of a prompt and all parts before it cached. It is only a
+// hint: the engine may have evicted the part since, and two IDs may have the same key.
 type Kept struct {
 	_        struct{} `cbor:",toarray"`
 	Part     namekey.Key
