--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange holds one request on its way through the steps, from its
-// arrival to its settled outcome.
+// Package exchange holds the state of a request in the pipeline from its arrival until its outcome
+// is settled.
 package exchange
 
 import (
@@ -13,7 +13,7 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// Headers of the callers' interface.
+// Headers that callers send and receive.
 const (
 	HeaderRequest        = "Dooryard-Request"
 	HeaderOutcome        = "Dooryard-Outcome"
@@ -24,43 +24,43 @@
 	HeaderAttempts       = "Dooryard-Attempts"
 )
 
-// Headers between boxes, read on the peers' listener only.
+// Headers between boxes. They are only read on the listener for peers.
 const (
 	HeaderHop          = "Dooryard-Hop"
 	HeaderOrganisation = "Dooryard-Organisation"
-	// HeaderRepeatable reports whether the request may be repeated, as the box that
-	// took it in decided: the other's table may be older.
+	// HeaderRepeatable carries whether the request may be repeated, as decided by the box that
+	// accepted it, because the receiving box may have an older table.
 	HeaderRepeatable = "Dooryard-Repeatable"
 )
 
-// Outcome says whether a request ran.
+// Outcome states whether a request ran.
 type Outcome string
 
-// Outcomes of a request. NotRun is said only when it is proved.
+// Outcomes of a request. NotRun is only reported if it is proven.
 const (
 	Ran     Outcome = "ran"
 	NotRun  Outcome = "not-run"
 	Unknown Outcome = "unknown"
 )
 
-// Kind is the kind of work that a request asks for.
+// Kind is the kind of a request.
 type Kind string
 
-// Kinds of work.
+// Kinds of requests.
 const (
 	Chat    Kind = "chat"
 	Service Kind = "service"
 )
 
-// ErrAnswered ends the steps of a request that has been answered already.
+// ErrAnswered stops the processing of a request that already has a response.
 var ErrAnswered = errors.New("already answered")
 
-// StatusCallerGone is the status in logs and metrics of a request whose caller
-// left before the answer; nobody receives it.
+// StatusCallerGone is the status in logs and metrics for a request whose caller disconnected before
+// the response. It is never sent.
 const StatusCallerGone = 499
 
-// Exchange is one request. Steps fill it in their order; it belongs to one
-// goroutine.
+// Exchange is a request in the pipeline. The steps set its fields in their order. It must only be
+// used by one goroutine.
 type Exchange struct {
 	// Set on arrival.
 	ID       string
@@ -80,29 +80,28 @@
 	Path     string
 	Body     []byte
 	Streamed bool
-	// Fresh is set for a chat's first turn, which can't be warm anywhere.
+	// Fresh is set for the first turn of a chat, for which no engine can have a warm cache.
 	Fresh          bool
 	Repeatable     bool
 	IdempotencyKey string
 	Deadline       clock.Millis
 
-	// Set by claim: the instant after which the request must not be sent any
-	// more, or 0.
+	// Set by claim. SendBefore is the time after which the request must not be sent, or 0.
 	SendBefore clock.Millis
 
 	// Set by route and forward.
 	Lease    *pool.Lease
 	Attempts int
-	// Sent is set from the moment on that any byte of the request may have
-	// left for an upstream without a proof that it did not run.
+	// Sent is set as soon as any byte of the request may have been sent to an upstream without proof
+	// that the upstream did not run the request.
 	Sent    bool
 	Outcome Outcome
 
-	releases []func(*Exchange)
+	onSettle []func(*Exchange)
 	ctx      context.Context
 }
 
-// New returns an exchange for a request that arrived now.
+// New returns an exchange for a request that arrived at the given time.
 func New(
 	ctx context.Context, id string, w http.ResponseWriter, r *http.Request, kind Kind, now clock.Millis,
 ) *Exchange {
@@ -112,25 +111,25 @@
 	}
 }
 
-// Context ends when the caller leaves or the deadline passes.
+// Context returns a context that is done when the caller disconnects or the deadline passes.
 func (x *Exchange) Context() context.Context { return x.ctx }
 
-// SetContext replaces the context, by one derived from it.
+// SetContext replaces the context by one derived from it.
 func (x *Exchange) SetContext(ctx context.Context) { x.ctx = ctx }
 
-// OnSettle has a function called when the exchange is settled, whatever became
-// of it. Functions are called in reverse order.
-func (x *Exchange) OnSettle(release func(*Exchange)) { x.releases = append(x.releases, release) }
+// OnSettle registers a function that is called when the exchange is settled, whatever its outcome.
+// The functions are called in reverse order.
+func (x *Exchange) OnSettle(fn func(*Exchange)) { x.onSettle = append(x.onSettle, fn) }
 
-// Settle calls the functions of OnSettle, once.
+// Settle calls the functions registered with OnSettle once.
 func (x *Exchange) Settle() {
-	for i := len(x.releases) - 1; i >= 0; i-- {
-		x.releases[i](x)
+	for i := len(x.onSettle) - 1; i >= 0; i-- {
+		x.onSettle[i](x)
 	}
-	x.releases = nil
+	x.onSettle = nil
 }
 
-// PoolName returns the name of the pool that the request goes to.
+// PoolName returns the name of the pool that serves the request.
 func (x *Exchange) PoolName() string {
 	if x.Kind == Chat {
 		return pool.Name(table.KindEngine, x.Target)
@@ -141,8 +140,7 @@
 // RemainingMs returns the time left before the deadline.
 func (x *Exchange) RemainingMs(now clock.Millis) clock.Millis { return x.Deadline - now }
 
-// StampOutcome writes the headers that every answer carries, unless the answer
-// has begun.
+// StampOutcome sets the headers that every response has, unless the response has already started.
 func (x *Exchange) StampOutcome() {
 	if x.Writer.Started() {
 		return
--- a/internal/exchange/writer.go
+++ b/internal/exchange/writer.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Writer is the caller's side of an answer. It knows whether the answer has
-// begun and counts its bytes.
+// Writer writes the response to the caller. It records whether the response has started and counts
+// the bytes of its body.
 type Writer struct {
 	http.ResponseWriter
 	controller *http.ResponseController
 	status     int
 	written    int64
-	recorder   func(part []byte)
+	recorder   func(data []byte)
 }
 
 // NewWriter wraps a response writer.
@@ -20,7 +20,7 @@
 	return &Writer{ResponseWriter: w, controller: http.NewResponseController(w)}
 }
 
-// WriteHeader begins the answer.
+// WriteHeader starts the response.
 func (w *Writer) WriteHeader(status int) {
 	if w.status == 0 {
 		w.status = status
@@ -28,30 +28,31 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write sends a part of the answer.
-func (w *Writer) Write(part []byte) (int, error) {
+// Write sends a part of the response body.
+func (w *Writer) Write(data []byte) (int, error) {
 	if w.status == 0 {
 		w.status = http.StatusOK
 	}
 	if w.recorder != nil {
-		w.recorder(part)
+		w.recorder(data)
 	}
-	n, err := w.ResponseWriter.Write(part)
+	n, err := w.ResponseWriter.Write(data)
 	w.written += int64(n)
 	return n, err
 }
 
-// Record has a function see each part of the answer, for claims that keep it.
-func (w *Writer) Record(recorder func(part []byte)) { w.recorder = recorder }
+// Record sets a function that receives each part of the response body. Claims use it to store the
+// response.
+func (w *Writer) Record(recorder func(data []byte)) { w.recorder = recorder }
 
-// Unwrap lets http.ResponseController reach the writer below.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (w *Writer) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// FlushNow sends what is buffered.
+// FlushNow sends buffered data.
 func (w *Writer) FlushNow() error { return w.controller.Flush() }
 
-// BoundRead bounds the time in which more of the request may be read; 0 sets no
-// bound. Connections that know no deadlines are left without.
+// BoundRead sets the time within which the rest of the request must be read; 0 removes the limit. It
+// has no effect on connections that don't support deadlines.
 func (w *Writer) BoundRead(span time.Duration) {
 	deadline := time.Time{}
 	if span > 0 {
@@ -60,11 +61,11 @@
 	_ = w.controller.SetReadDeadline(deadline)
 }
 
-// Started reports whether any part of the answer was handed to the caller.
+// Started reports whether the response has started.
 func (w *Writer) Started() bool { return w.status != 0 }
 
-// Status returns the status of the answer, or 0 before it began.
+// Status returns the status of the response, or 0 if it has not started.
 func (w *Writer) Status() int { return w.status }
 
-// Written returns the bytes of the body so far.
+// Written returns the number of body bytes written so far.
 func (w *Writer) Written() int64 { return w.written }
