--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -1,5 +1,5 @@
-// Package callers is the interface that callers see: chats, plain services,
-// models and health.
+// Package callers implements the HTTP API for callers: chats, plain services, models and health
+// checks.
 package callers
 
 import (
@@ -17,7 +17,7 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// Handler answers callers.
+// Handler serves the HTTP API for callers.
 type Handler struct {
 	serve  func(x *exchange.Exchange)
 	state  func() *table.State
@@ -27,23 +27,23 @@
 	mux    *http.ServeMux
 }
 
-// Dependencies are what the handler needs of its box.
+// Dependencies holds what a Handler needs from its box.
 type Dependencies struct {
-	// Serve takes a request through the steps.
+	// Serve runs a request through the pipeline.
 	Serve func(x *exchange.Exchange)
-	// State returns the table in force.
+	// State returns the current table.
 	State func() *table.State
-	// Ready reports whether the box takes new requests.
+	// Ready reports whether the box accepts new requests.
 	Ready  func() bool
 	Tracer trace.Tracer
 	Now    func() clock.Millis
 }
 
-// New returns the callers' interface.
+// New returns a handler for the API for callers.
 func New(d Dependencies) *Handler {
 	h := &Handler{serve: d.Serve, state: d.State, ready: d.Ready, tracer: d.Tracer, now: d.Now, mux: http.NewServeMux()}
-	h.mux.HandleFunc("POST /v1/chat/completions", h.work(exchange.Chat, false))
-	h.mux.HandleFunc("/services/{service}/{path...}", h.work(exchange.Service, false))
+	h.mux.HandleFunc("POST /v1/chat/completions", h.proxy(exchange.Chat, false))
+	h.mux.HandleFunc("/services/{service}/{path...}", h.proxy(exchange.Service, false))
 	h.mux.HandleFunc("GET /v1/models", h.models)
 	h.mux.HandleFunc("GET /healthz", h.health)
 	h.mux.HandleFunc("GET /readyz", h.readiness)
@@ -51,16 +51,16 @@
 	return h
 }
 
-// PeerRoutes adds the calls of boxes that pass a request on to this one.
+// PeerRoutes registers the endpoints that other boxes use to forward requests to this one.
 func (h *Handler) PeerRoutes(mux *http.ServeMux) {
-	mux.HandleFunc("POST /v1/chat/completions", h.work(exchange.Chat, true))
-	mux.HandleFunc("/services/{service}/{path...}", h.work(exchange.Service, true))
+	mux.HandleFunc("POST /v1/chat/completions", h.proxy(exchange.Chat, true))
+	mux.HandleFunc("/services/{service}/{path...}", h.proxy(exchange.Service, true))
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-func (h *Handler) work(kind exchange.Kind, fromPeer bool) http.HandlerFunc {
+func (h *Handler) proxy(kind exchange.Kind, fromPeer bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := ulid.Make().String()
 		if fromPeer {
@@ -78,16 +78,16 @@
 	}
 }
 
-// headerRequestID carries the request's id between boxes as to upstreams.
+// headerRequestID carries the request ID, both between boxes and to upstreams.
 const headerRequestID = "X-Request-Id"
 
-// Models is the answer to GET /v1/models.
+// Models is the response to GET /v1/models.
 type Models struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// Model is one entry of Models.
+// Model is an entry of Models.
 type Model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -99,13 +99,13 @@
 		apierror.From(err).Write(w)
 		return
 	}
-	reply := Models{Object: "list", Data: []Model{}}
+	response := Models{Object: "list", Data: []Model{}}
 	for _, name := range h.state().ModelNames() {
-		reply.Data = append(reply.Data, Model{ID: name, Object: "model", OwnedBy: "operators"})
+		response.Data = append(response.Data, Model{ID: name, Object: "model", OwnedBy: "operators"})
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that is gone can't be told.
-	_ = json.NewEncoder(w).Encode(reply)
+	// The error is ignored because it means that the caller has disconnected.
+	_ = json.NewEncoder(w).Encode(response)
 }
 
 func (*Handler) health(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }
