--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,4 +1,4 @@
-// Package codec decodes the wire types of the project's own records.
+// Package codec decodes the wire types that this project defines.
 package codec
 
 import (
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// Decode reads JSON into the plain form of a wire type, for the type's own
-// UnmarshalJSON to check. Its errors wrap malformed.
+// Decode decodes JSON into a plain copy of a wire type, which the UnmarshalJSON method of the type
+// then validates. Its errors wrap malformed.
 func Decode[W any](data []byte, malformed error) (W, error) {
 	var decoded W
 	if err := json.Unmarshal(data, &decoded); err != nil {
