--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,5 +1,5 @@
-// Package apierror holds the errors that callers and operators see, in the
-// OpenAI error shape.
+// Package apierror defines the errors that callers and operators receive, in the format of the
+// OpenAI API.
 package apierror
 
 import (
@@ -11,8 +11,7 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Error is an answer that is an error. Message names the field that is wrong
-// and never holds a secret.
+// Error is an error response. Message names the invalid field and never contains a secret.
 type Error struct {
 	Status       int
 	Type         string
@@ -23,7 +22,7 @@
 	cause        error
 }
 
-// Types of the OpenAI error shape.
+// Error types of the OpenAI API.
 const (
 	TypeInvalidRequest = "invalid_request_error"
 	TypeAuthentication = "authentication_error"
@@ -31,19 +30,19 @@
 	TypeServer         = "server_error"
 )
 
-// Option changes an Error under construction.
+// Option configures an Error.
 type Option func(*Error)
 
-// WithParam names the field that is wrong.
+// WithParam sets the name of the invalid field.
 func WithParam(param string) Option { return func(e *Error) { e.Param = param } }
 
-// WithRetryAfter says when to come back.
-func WithRetryAfter(span clock.Millis) Option { return func(e *Error) { e.RetryAfterMs = span } }
+// WithRetryAfter sets the delay after which the caller may retry.
+func WithRetryAfter(delay clock.Millis) Option { return func(e *Error) { e.RetryAfterMs = delay } }
 
-// WithCause keeps the error below for errors.Is and logs; callers don't see it.
+// WithCause sets the underlying error for errors.Is and logs. Callers don't see it.
 func WithCause(cause error) Option { return func(e *Error) { e.cause = cause } }
 
-// New returns an Error. Its type follows from the status.
+// New returns an Error. Its type is derived from the status.
 func New(status int, code, message string, options ...Option) *Error {
 	e := &Error{Status: status, Type: typeOf(status), Code: code, Message: message}
 	for _, option := range options {
@@ -73,24 +72,25 @@
 	return e.Code + ": " + e.Message
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.cause }
 
-// From returns the Error in an error's chain, or an internal one that hides it.
+// From returns the Error in the chain of an error, or an internal error that hides it from the
+// caller.
 func From(err error) *Error {
-	var known *Error
-	if errors.As(err, &known) {
-		return known
+	var apiErr *Error
+	if errors.As(err, &apiErr) {
+		return apiErr
 	}
 	return New(http.StatusInternalServerError, "internal", "internal error", WithCause(err))
 }
 
-// Body is the OpenAI error shape.
+// Body is the error format of the OpenAI API.
 type Body struct {
 	Error Detail `json:"error"`
 }
 
-// Detail is the inner part of the error shape.
+// Detail is the error object in Body.
 type Detail struct {
 	Message string  `json:"message"`
 	Type    string  `json:"type"`
@@ -98,7 +98,7 @@
 	Code    string  `json:"code"`
 }
 
-// Body returns the error as callers see it.
+// Body returns the response body.
 func (e *Error) Body() Body {
 	detail := Detail{Message: e.Message, Type: e.Type, Code: e.Code}
 	if e.Param != "" {
@@ -107,14 +107,14 @@
 	return Body{Error: detail}
 }
 
-// JSON returns the body of the answer.
+// JSON returns the response body encoded as JSON.
 func (e *Error) JSON() []byte {
-	// The body holds only strings, so encoding it can't fail.
+	// Encoding can't fail because the body holds only strings.
 	body, _ := json.Marshal(e.Body())
 	return body
 }
 
-// Write answers with the error. Waits are rounded up to whole seconds.
+// Write sends the error as the response. The retry delay is rounded up to whole seconds.
 func (e *Error) Write(w http.ResponseWriter) {
 	body := e.JSON()
 	if e.RetryAfterMs > 0 {
@@ -124,6 +124,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(e.Status)
-	// A caller that is gone can't be told.
+	// The error is ignored because it means that the caller has disconnected.
 	_, _ = w.Write(body)
 }
