--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -130,12 +130,12 @@
 // publish adds the terminations that are not yet published to this box's event log.
 func (l *Ledger) publish(fingerprint Fingerprint, known terminations) {
 	for _, upstream := range slices.Sorted(maps.Keys(known)) {
-		e := known[upstream]
-		if e.published {
+		r := known[upstream]
+		if r.published {
 			continue
 		}
-		l.events.add(Ending{Fingerprint: fingerprint, Upstream: upstream}, e.atMs)
-		known[upstream] = record{atMs: e.atMs, published: true}
+		l.events.add(Ending{Fingerprint: fingerprint, Upstream: upstream}, r.atMs)
+		known[upstream] = record{atMs: r.atMs, published: true}
 	}
 }
 
@@ -153,7 +153,7 @@
 	known := l.fingerprints[fingerprint]
 	before := l.remainingHoldMs(known)
 	count := len(known)
-	maps.DeleteFunc(known, func(_ namekey.Key, e record) bool { return e.atMs <= at })
+	maps.DeleteFunc(known, func(_ namekey.Key, r record) bool { return r.atMs <= at })
 	if len(known) == count {
 		return false
 	}
@@ -285,10 +285,10 @@
 	}
 }
 
-func (e terminations) newest() clock.Millis {
+func (t terminations) newest() clock.Millis {
 	newest := clock.Millis(0)
-	for _, t := range e {
-		newest = max(newest, t.atMs)
+	for _, r := range t {
+		newest = max(newest, r.atMs)
 	}
 	return newest
 }
