--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// putIdle returns a connection to the pool after a response.
+// putIdle keeps a connection for the next request after a response.
 func (c *Client) putIdle(cn *conn, header http.Header) {
 	timeout, announced := keepAliveTimeout(header)
 	if !announced {
@@ -177,7 +177,7 @@
 	c.keepIdle(cn, timeout-idleMarginMs)
 }
 
-// putUnused returns a connection that was not used to the pool without extending its idle timeout.
+// putUnused keeps a connection that was not used, without extending its idle timeout.
 func (c *Client) putUnused(cn *conn) {
 	if cn.idleUntilMs == 0 {
 		c.keepIdle(cn, defaultIdleTimeoutMs)
@@ -186,8 +186,8 @@
 	c.keepIdle(cn, cn.idleUntilMs-c.steady())
 }
 
-// keepIdle adds a connection to the pool for the given duration. It closes the connection instead if
-// the client is closed, the duration has passed or the pool is full.
+// keepIdle adds a connection to the idle connections for the given duration. It closes the connection
+// instead if the client is closed, the duration has passed or there are maxIdleConns already.
 func (c *Client) keepIdle(cn *conn, timeout clock.Millis) {
 	cn.idleUntilMs = c.steady() + timeout
 	c.mu.Lock()
@@ -285,7 +285,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	rt := &roundTrip{client: c, conn: cn, request: r}
-	rt.stopWatch = context.AfterFunc(ctx, func() { _ = cn.Close() })
+	rt.stopAfterFunc = context.AfterFunc(ctx, func() { _ = cn.Close() })
 	answer, err := rt.run()
 	if err != nil {
 		rt.abort()
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -73,7 +73,7 @@
 }
 
 func okResponse(id, body string) string {
-	return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
+	return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nContent-Length: " + digit(len(body)) + "\r\n\r\n" + body
 }
 
 // closeWithReset closes a connection with a TCP reset.
@@ -84,7 +84,7 @@
 	_ = conn.Close()
 }
 
-func itoa(n int) string { return strings.TrimSpace(string(rune('0' + n))) }
+func digit(n int) string { return strings.TrimSpace(string(rune('0' + n))) }
 
 func readAll(t *testing.T, c *Client, r *Request) (string, error) {
 	t.Helper()
@@ -102,7 +102,7 @@
 		s := startUpstream(t, respondEach(okResponse("1", "one"), okResponse("2", "two")))
 		c := s.client()
 		for id, want := range []string{"one", "two"} {
-			body, err := readAll(t, c, request(itoa(id+1)))
+			body, err := readAll(t, c, request(digit(id+1)))
 			require.NoError(t, err)
 			assert.Equal(t, want, body)
 		}
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -53,10 +53,10 @@
 
 // roundTrip is the exchange of one request and its response on a connection.
 type roundTrip struct {
-	client    *Client
-	conn      *conn
-	request   *Request
-	stopWatch func() bool
+	client        *Client
+	conn          *conn
+	request       *Request
+	stopAfterFunc func() bool
 	// written is set once the whole request was written to the connection.
 	written atomic.Bool
 }
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// sendError classifies a write error. After a partial write the upstream may have received the
-// request, and it may even have responded before it closed the connection.
+// sendError classifies a write error. Only a write of zero bytes proves that nothing was sent. After
+// a partial write, the upstream may even have responded before it closed the connection.
 func (rt *roundTrip) sendError(n int, err error) error {
 	switch {
 	case err == nil:
@@ -146,7 +146,7 @@
 
 // abort closes the connection.
 func (rt *roundTrip) abort() {
-	rt.stopWatch()
+	rt.stopAfterFunc()
 	_ = rt.conn.Close()
 }
 
@@ -175,14 +175,14 @@
 	}
 }
 
-// Close returns the connection to the pool if it can be reused, and closes it otherwise.
+// Close keeps the connection for the next request if it can be reused, and closes it otherwise.
 func (a *Answer) Close() {
 	if a.closed {
 		return
 	}
 	a.closed = true
 	rt := a.roundTrip
-	stopped := rt.stopWatch()
+	stopped := rt.stopAfterFunc()
 	reusable := stopped && a.eof && !a.failed && selfDelimited(a.Response) && !a.Response.Close &&
 		rt.written.Load() && rt.conn.reader.Buffered() == 0
 	if !reusable {
