--- /dev/null
+++ b/internal/quarantine/event_log.go
@@ -0,0 +1,50 @@
+package quarantine
+
+import (
+	"slices"
+
+	"dooryard.example/dooryard/internal/clock"
+)
+
+// minEventLogLength is the minimum number of recent events that a box keeps for other boxes. It
+// exceeds the number of events that occur while a box misses a few gossip rounds.
+const minEventLogLength = 1024
+
+// eventLog holds the most recent events in the order in which this box learned of them. Events have
+// consecutive sequence numbers.
+type eventLog struct {
+	nextSeq int64
+	events  []loggedEvent
+}
+
+// loggedEvent is an event with the time at which it occurred.
+type loggedEvent struct {
+	event Ending
+	atMs  clock.Millis
+}
+
+func (l *eventLog) add(e Ending, at clock.Millis) {
+	l.events = append(l.events, loggedEvent{event: e, atMs: at})
+	l.nextSeq++
+	if len(l.events) >= 2*minEventLogLength {
+		// The older half is dropped at once, which keeps the amortised cost of an addition low.
+		l.events = slices.Clone(l.events[len(l.events)-minEventLogLength:])
+	}
+}
+
+// since returns at most limit events from a sequence number on, with their ages, and the sequence
+// number to continue from. A sequence number outside the log's range selects all events.
+func (l *eventLog) since(from int64, limit int, now clock.Millis) ([]Ending, int64) {
+	oldest := l.nextSeq - int64(len(l.events))
+	if from < oldest || from > l.nextSeq {
+		from = oldest
+	}
+	to := min(l.nextSeq, from+int64(limit))
+	events := []Ending{}
+	for _, logged := range l.events[from-oldest : to-oldest] {
+		e := logged.event
+		e.AgeMs = now - logged.atMs
+		events = append(events, e)
+	}
+	return events, to
+}
--- /dev/null
+++ b/internal/upstream/roundtrip.go
@@ -0,0 +1,195 @@
+package upstream
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"sync/atomic"
+	"syscall"
+)
+
+// rawConn is the connection that a dialer's control function receives.
+type rawConn = syscall.RawConn
+
+// Request is an opaque request. Header holds all headers except Host and Content-Length.
+type Request struct {
+	Method string
+	// Target is the path and query exactly as the caller sent them.
+	Target string
+	Host   string
+	Header http.Header
+	Body   []byte
+	// MaySend is called after a connection was obtained and right before the first byte is written.
+	// If it returns an error, the request is not sent. It may be nil.
+	MaySend func() error
+	// Mine reports whether a response with the given header belongs to this request.
+	Mine func(header http.Header) bool
+}
+
+func (r *Request) maySend() error {
+	if r.MaySend == nil {
+		return nil
+	}
+	return r.MaySend()
+}
+
+// head returns the request line and the headers.
+func (r *Request) head() ([]byte, error) {
+	var b bytes.Buffer
+	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
+	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
+		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
+	}
+	if err := r.Header.Write(&b); err != nil {
+		return nil, fmt.Errorf("request head: %w", err)
+	}
+	b.WriteString("\r\n")
+	return b.Bytes(), nil
+}
+
+// roundTrip is the exchange of one request and its response on a connection.
+type roundTrip struct {
+	client        *Client
+	conn          *conn
+	request       *Request
+	stopAfterFunc func() bool
+	// written is set once the whole request was written to the connection.
+	written atomic.Bool
+}
+
+// maxInlineBytes is the size up to which a request is written completely before the response is
+// read. Requests of this size fit into the send buffer of a new connection.
+const maxInlineBytes = 8 << 10
+
+func (rt *roundTrip) run() (*Answer, error) {
+	head, err := rt.request.head()
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+	}
+	if err := rt.send(head); err != nil {
+		return nil, err
+	}
+	return rt.receive()
+}
+
+// send writes the request. A long body is written concurrently with reading the response, because
+// the upstream may respond before it has read the whole body.
+func (rt *roundTrip) send(head []byte) error {
+	if len(head)+len(rt.request.Body) <= maxInlineBytes {
+		n, err := rt.conn.Write(append(head, rt.request.Body...))
+		rt.written.Store(err == nil)
+		return rt.sendError(n, err)
+	}
+	if n, err := rt.conn.Write(head); err != nil {
+		return rt.sendError(n, err)
+	}
+	go func() {
+		_, err := rt.conn.Write(rt.request.Body)
+		// A write error needs no handling here: either reading the response fails too, or the
+		// upstream responded before it read the whole body.
+		rt.written.Store(err == nil)
+	}()
+	return nil
+}
+
+// sendError classifies a write error. Only a write of zero bytes proves that nothing was sent. After
+// a partial write, the upstream may even have responded before it closed the connection.
+func (rt *roundTrip) sendError(n int, err error) error {
+	switch {
+	case err == nil:
+		return nil
+	case n == 0:
+		return fmt.Errorf("%w: %w", ErrNotSent, err)
+	default:
+		return fmt.Errorf("%w: %w", ErrBroken, err)
+	}
+}
+
+// receive reads the header of the response. It skips interim (1xx) responses and, on a reused
+// connection, surplus responses to earlier requests.
+func (rt *roundTrip) receive() (*Answer, error) {
+	mismatched := 0
+	for {
+		response, err := rt.readHead() //nolint:bodyclose // It is read to its end, or closed with the connection.
+		if err != nil {
+			return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+		}
+		switch {
+		case response.StatusCode < http.StatusOK && response.StatusCode != http.StatusSwitchingProtocols:
+		case rt.request.Mine(response.Header):
+			return &Answer{Response: response, roundTrip: rt}, nil
+		case mismatched == maxMismatched || !selfDelimited(response):
+			return nil, fmt.Errorf("%w: status %d", ErrResponseMismatch, response.StatusCode)
+		default:
+			mismatched++
+			if err := discardBody(response.Body); err != nil {
+				return nil, fmt.Errorf("%w: %w", ErrResponseMismatch, err)
+			}
+		}
+	}
+}
+
+// readHead reads the status line and headers of one response.
+func (rt *roundTrip) readHead() (*http.Response, error) {
+	return http.ReadResponse(rt.conn.reader, &http.Request{Method: rt.request.Method})
+}
+
+// selfDelimited reports whether the end of the response is known without the connection being
+// closed.
+func selfDelimited(response *http.Response) bool {
+	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
+}
+
+// abort closes the connection.
+func (rt *roundTrip) abort() {
+	rt.stopAfterFunc()
+	_ = rt.conn.Close()
+}
+
+// Answer is a response whose body is streamed.
+type Answer struct {
+	*http.Response
+	roundTrip *roundTrip
+	eof       bool
+	failed    bool
+	closed    bool
+}
+
+// Read reads from the body. It returns io.EOF at the end of a complete body and an error that wraps
+// ErrBroken if the body was truncated.
+func (a *Answer) Read(part []byte) (int, error) {
+	n, err := a.Body.Read(part)
+	switch {
+	case err == nil:
+		return n, nil
+	case errors.Is(err, io.EOF):
+		a.eof = true
+		return n, io.EOF
+	default:
+		a.failed = true
+		return n, fmt.Errorf("%w: %w", ErrBroken, err)
+	}
+}
+
+// Close keeps the connection for the next request if it can be reused, and closes it otherwise.
+func (a *Answer) Close() {
+	if a.closed {
+		return
+	}
+	a.closed = true
+	rt := a.roundTrip
+	stopped := rt.stopAfterFunc()
+	reusable := stopped && a.eof && !a.failed && selfDelimited(a.Response) && !a.Response.Close &&
+		rt.written.Load() && rt.conn.reader.Buffered() == 0
+	if !reusable {
+		_ = rt.conn.Close()
+		return
+	}
+	rt.client.putIdle(rt.conn, a.Header)
+}
+
+var _ net.Conn = (*conn)(nil)
