--- a/internal/occupancy/occupancy.go
+++ b/internal/occupancy/occupancy.go
@@ -1,6 +1,6 @@
-// Package occupancy counts the requests that all boxes of a large fleet have at the upstreams
-// which one box owns. In such a fleet a box sees a sliver of the traffic and hears of others too
-// seldom to bound an upstream's load by itself; one box that is asked before each request can.
+// Package occupancy counts the requests of all boxes of a large fleet at the upstreams that one box
+// owns. In such a fleet a box sees a small fraction of the traffic and receives load reports too
+// seldom to bound an upstream's load by itself; an owner that grants a permit for each request can.
 package occupancy
 
 import (
@@ -11,87 +11,86 @@
 	"dooryard.example/dooryard/internal/namekey"
 )
 
-// holdMs is how long a place counts at most. It outlasts most requests; the word that one has
-// ended may be lost.
-const holdMs = 20 * clock.Second
+// permitTTLMs is the maximum time for which a permit counts. It outlasts most requests, and bounds
+// the effect of a lost release message.
+const permitTTLMs = 20 * clock.Second
 
-// Holder names a place: the box that asked for it, and the box's own number.
+// Holder identifies a permit: the box that requested it, and a number that the box assigned.
 type Holder struct {
 	Box    string
 	Number uint32
 }
 
-type place struct {
+type permit struct {
 	upstream namekey.Key
 	atMs     clock.Millis
 }
 
-// Ledger counts places. It is safe for concurrent use.
+// Ledger counts permits. It is safe for concurrent use.
 type Ledger struct {
 	steady func() clock.Millis
 
-	mu     sync.Mutex
-	places map[Holder]place
-	counts map[namekey.Key]int
+	mu      sync.Mutex
+	permits map[Holder]permit
+	counts  map[namekey.Key]int
 }
 
 // New returns an empty ledger.
 func New(steady func() clock.Millis) *Ledger {
-	return &Ledger{steady: steady, places: map[Holder]place{}, counts: map[namekey.Key]int{}}
+	return &Ledger{steady: steady, permits: map[Holder]permit{}, counts: map[namekey.Key]int{}}
 }
 
-// Take counts a place at an upstream unless as many are taken as the bound allows. It returns
-// whether it did.
+// Take grants a permit at an upstream unless the bound is reached, and reports whether it did.
 func (l *Ledger) Take(h Holder, upstream namekey.Key, bound int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drop(h)
+	l.remove(h)
 	if l.counts[upstream] >= bound {
 		return false
 	}
-	l.places[h] = place{upstream: upstream, atMs: l.steady()}
+	l.permits[h] = permit{upstream: upstream, atMs: l.steady()}
 	l.counts[upstream]++
 	return true
 }
 
-// Release gives a place back, if it is taken.
+// Release returns a permit, if it is held.
 func (l *Ledger) Release(h Holder) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drop(h)
+	l.remove(h)
 }
 
-func (l *Ledger) drop(h Holder) {
-	p, taken := l.places[h]
-	if !taken {
+func (l *Ledger) remove(h Holder) {
+	p, found := l.permits[h]
+	if !found {
 		return
 	}
-	delete(l.places, h)
+	delete(l.permits, h)
 	if l.counts[p.upstream]--; l.counts[p.upstream] == 0 {
 		delete(l.counts, p.upstream)
 	}
 }
 
-// Expire drops places whose end was not told.
+// Expire removes permits whose release was never received.
 func (l *Ledger) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	oldest := l.steady() - holdMs
-	for h, p := range maps.Clone(l.places) {
+	oldest := l.steady() - permitTTLMs
+	for h, p := range maps.Clone(l.permits) {
 		if p.atMs <= oldest {
-			l.drop(h)
+			l.remove(h)
 		}
 	}
 }
 
-// Taken returns how many places are taken at an upstream.
-func (l *Ledger) Taken(upstream namekey.Key) int {
+// InUse returns the number of permits that are held at an upstream.
+func (l *Ledger) InUse(upstream namekey.Key) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts[upstream]
 }
 
-// Sizes are counts for metrics.
+// Sizes holds counts for metrics.
 type Sizes struct {
 	Upstreams int `json:"upstreams"`
 	Places    int `json:"places"`
@@ -101,5 +100,5 @@
 func (l *Ledger) Sizes() Sizes {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Sizes{Upstreams: len(l.counts), Places: len(l.places)}
+	return Sizes{Upstreams: len(l.counts), Places: len(l.permits)}
 }
--- a/internal/occupancy/occupancy_test.go
+++ b/internal/occupancy/occupancy_test.go
@@ -14,31 +14,31 @@
 	upstream := namekey.Of("u")
 	first, second := Holder{Box: "a", Number: 1}, Holder{Box: "b", Number: 1}
 	newLedger := func() *Ledger { return New(func() clock.Millis { return now }) }
-	t.Run("no more places are taken than the bound", func(t *testing.T) {
+	t.Run("not more permits are granted than the bound", func(t *testing.T) {
 		l := newLedger()
 		assert.True(t, l.Take(first, upstream, 1))
 		assert.False(t, l.Take(second, upstream, 1))
 		l.Release(first)
 		assert.True(t, l.Take(second, upstream, 1))
 	})
-	t.Run("a place that is asked for twice counts once", func(t *testing.T) {
+	t.Run("a permit that is requested twice counts once", func(t *testing.T) {
 		l := newLedger()
 		l.Take(first, upstream, 5)
 		l.Take(first, upstream, 5)
-		assert.Equal(t, 1, l.Taken(upstream))
+		assert.Equal(t, 1, l.InUse(upstream))
 		l.Release(first)
 		l.Release(first)
-		assert.Zero(t, l.Taken(upstream))
+		assert.Zero(t, l.InUse(upstream))
 		assert.Zero(t, l.Sizes())
 	})
-	t.Run("a place whose end was not told is dropped", func(t *testing.T) {
+	t.Run("a permit whose release was lost expires", func(t *testing.T) {
 		l := newLedger()
 		l.Take(first, upstream, 5)
-		now += holdMs - 1
+		now += permitTTLMs - 1
 		l.Expire()
-		assert.Equal(t, 1, l.Taken(upstream))
+		assert.Equal(t, 1, l.InUse(upstream))
 		now++
 		l.Expire()
-		assert.Zero(t, l.Taken(upstream))
+		assert.Zero(t, l.InUse(upstream))
 	})
 }
