--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement decides which orders the engines of a failure domain get, so
-// that each serves the models that the table names.
+// Package placement decides which orders (to load or unload a model) the engines of a failure
+// domain get, so that each serves the models that the table lists.
 package placement
 
 import (
@@ -10,29 +10,28 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// LongestOrderMs is the longest time that an order takes on any engine.
-const LongestOrderMs = 60 * clock.Second
+// MaxOrderDurationMs is the maximum time that an order takes on any engine.
+const MaxOrderDurationMs = 60 * clock.Second
 
-// Lease is the right to give orders.
+// Lease is the right to send orders.
 type Lease struct {
 	Token   int64
 	UntilMs clock.Millis
 	SinceMs clock.Millis
-	// SpanMs is how long a lease lasts.
+	// SpanMs is the duration of a lease.
 	SpanMs clock.Millis
 }
 
-// Decide returns the next order for an engine, or false when it needs none now:
-// its models are as the table says, an order is outstanding, or the order would
-// be doubtful. An engine that does not check tokens could still be carrying out
-// an earlier holder's order, or get one that the holder sent before it was
-// paused: it gets none until the earlier lease and the longest order have run
-// out.
+// Decide returns the next order for an engine, or false if it needs none now: its models match the
+// table, an order is outstanding, or the order would be unsafe. An engine that does not check
+// tokens could still be executing an order of an earlier lease holder, or receive one that the
+// holder sent before it was paused. It gets no order until the earlier lease and the longest order
+// have expired.
 func Decide(row *table.Upstream, state engine.OrderState, lease Lease, now clock.Millis) (engine.Order, bool) {
 	if state.Outstanding != "" || now >= lease.UntilMs || state.NewestToken > lease.Token {
 		return engine.Order{}, false
 	}
-	if !row.ChecksTokens && now < lease.SinceMs+lease.SpanMs+LongestOrderMs {
+	if !row.ChecksTokens && now < lease.SinceMs+lease.SpanMs+MaxOrderDurationMs {
 		return engine.Order{}, false
 	}
 	if model, found := firstMissing(row.Serves, state.Models); found {
@@ -44,15 +43,14 @@
 	return engine.Order{}, false
 }
 
-// Settled reports whether an engine's models are as the table says and nothing is
-// under way.
+// Settled reports whether an engine's models match the table and no order is outstanding.
 func Settled(row *table.Upstream, state engine.OrderState) bool {
 	_, missing := firstMissing(row.Serves, state.Models)
 	_, extra := firstMissing(state.Models, row.Serves)
 	return state.Outstanding == "" && !missing && (!extra || row.Draining)
 }
 
-// firstMissing returns the first of the wanted that is not among the present.
+// firstMissing returns the first wanted model that is not present.
 func firstMissing(wanted, present []string) (string, bool) {
 	for _, model := range wanted {
 		if !slices.Contains(present, model) {
