--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -10,54 +10,52 @@
 	"dooryard.example/dooryard/internal/routing"
 )
 
-// Sink is where a source of routing state puts what it learns. Spans and
-// instants are on the steady clock.
+// Sink receives what a source of routing state reads. Durations and instants are those of the steady clock.
 type Sink struct {
-	// Wanted reports whether the source should read a stream now: other boxes may
-	// read for this one.
+	// Wanted reports whether the source should read a stream now. It need not if other boxes read for this one.
 	Wanted func(stream string) bool
 	// ReadsForOthers reports whether other boxes depend on what the source reads.
 	ReadsForOthers func() bool
-	// Met tells of which era an answer of the store was.
+	// Met reports the era of a response of the store.
 	Met func(era int64)
-	// Adopt takes a routing state, told in an era, into force if it is newer.
+	// Adopt applies a routing state that was read in an era, if it is newer than the current one.
 	Adopt func(s *routing.State, era int64)
-	// Confirm says that the newest state that this source handed over last was the newest
-	// there is at an instant, by an answer of an era.
+	// Confirm reports that the state last passed to Adopt was still the newest at an instant, according to a response of
+	// the store in an era.
 	Confirm func(atMs clock.Millis, era int64)
-	// Upstreams takes in changes.
+	// Upstreams applies changes of the upstreams.
 	Upstreams func(changes []registry.Change)
-	// AllUpstreams takes in all upstreams there are, as of a position.
+	// AllUpstreams replaces the list of upstreams with the complete list as of a position.
 	AllUpstreams func(all []registry.Change, at position.Position)
-	// Position returns the newest position of the upstreams that is known.
+	// Position returns the position of the newest known change of the upstreams.
 	Position func() position.Position
-	// Reached reports whether a read of some stream worked.
+	// Reached reports the result of a read of a stream; the error is nil if it succeeded.
 	Reached func(stream string, err error)
-	// Ignored tells of an input that can't be used.
+	// Ignored reports an invalid input.
 	Ignored func(input string, err error)
 }
 
-// afterReturnMs is how long after a store's return entries may still lapse for
-// no other reason than its absence: upstreams write theirs within two seconds.
-const afterReturnMs clock.Millis = 2300
+// recoveryGraceMs is how long after the recovery of a store entries may still expire only because it was unavailable:
+// upstreams rewrite theirs within two seconds.
+const recoveryGraceMs clock.Millis = 2300
 
-// storeSink is the Sink of the store.
+// storeSink applies what a source reads from the store.
 type storeSink struct {
 	box    *Box
 	source string
 
-	mu      sync.Mutex
-	version int64
-	lost    map[string]clock.Millis
-	backMs  clock.Millis
-	// read are the streams that were read at least once, and when they last were.
-	read map[string]clock.Millis
-	// failedMs is when a read last failed.
-	failedMs clock.Millis
+	mu          sync.Mutex
+	version     int64
+	lostSince   map[string]clock.Millis
+	recoveredMs clock.Millis
+	// lastReadMs holds the time of the last successful read of each stream that was read at least once.
+	lastReadMs map[string]clock.Millis
+	// lastFailureMs is when a read last failed.
+	lastFailureMs clock.Millis
 }
 
 func (b *Box) newStoreSink(source string) *storeSink {
-	return &storeSink{box: b, source: source, lost: map[string]clock.Millis{}, read: map[string]clock.Millis{}}
+	return &storeSink{box: b, source: source, lostSince: map[string]clock.Millis{}, lastReadMs: map[string]clock.Millis{}}
 }
 
 func (s *storeSink) asSink() Sink {
@@ -68,42 +66,42 @@
 	}
 }
 
-// readSince reports whether all streams were read since an instant.
+// readSince reports whether all known streams were read since an instant.
 func (s *storeSink) readSince(atMs clock.Millis) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, readMs := range s.read {
+	for _, readMs := range s.lastReadMs {
 		if readMs < atMs {
 			return false
 		}
 	}
-	return len(s.read) > 0
+	return len(s.lastReadMs) > 0
 }
 
-// lostLookMs is how often a box that has lost the store, and that others tell all it
-// needs, looks whether it could read for them again: each refused read is paid for.
-const lostLookMs = 5 * clock.Second
+// lostStoreRetryMs is how often a box that can't read the store, but gets everything from other boxes, retries the
+// store so that it can read for others again. The interval is long because each refused read is charged for.
+const lostStoreRetryMs = 5 * clock.Second
 
-// wanted reports whether a stream is to be read. A box that reads for nobody else and
-// has lost the store tries one stream only until it is back.
+// wanted reports whether a stream is to be read. A box that does not read for others and has lost the store tries only
+// one stream until the store is available again.
 func (s *storeSink) wanted(stream string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	needed := s.box.peering.needsStore(s.read[stream] > 0)
+	needed := s.box.peering.needsStoreRead(s.lastReadMs[stream] > 0)
 	if needed && s.box.peering.mesh.IsSource() {
 		return true
 	}
-	for lost := range s.lost {
+	for lost := range s.lostSince {
 		if lost < stream {
 			return false
 		}
 	}
-	// A box that was turned away looks now and then, though it needs nothing.
-	_, lost := s.lost[stream]
-	return needed || lost && s.box.clock.Steady()-s.failedMs >= lostLookMs
+	// A box whose reads were refused retries from time to time, even if it needs nothing.
+	_, lost := s.lostSince[stream]
+	return needed || lost && s.box.clock.Steady()-s.lastFailureMs >= lostStoreRetryMs
 }
 
-func (s *storeSink) met(era int64) { s.box.meetEra(era, s.source) }
+func (s *storeSink) met(era int64) { s.box.observeEra(era, s.source) }
 
 func (s *storeSink) adopt(state *routing.State, era int64) {
 	s.mu.Lock()
@@ -116,92 +114,94 @@
 	s.mu.Lock()
 	version := s.version
 	s.mu.Unlock()
-	s.box.belief.Confirm(routing.Confirmation{Version: version, Era: era, AtMs: atMs})
+	s.box.routingState.Confirm(routing.Confirmation{Version: version, Era: era, AtMs: atMs})
 }
 
 func (s *storeSink) upstreams(changes []registry.Change) {
-	span := s.lapseSpan()
+	span := s.removalGrace()
 	for i := range changes {
 		if !changes[i].Unusable {
 			changes[i].LapseMs = span
 		}
 	}
-	s.box.tellUpstreams(s.box.registry.Apply(changes), s.source)
+	s.box.announceUpstreams(s.box.registry.Apply(changes), s.source)
 }
 
 func (s *storeSink) allUpstreams(all []registry.Change, at position.Position) {
-	s.box.tellUpstreams(s.box.registry.Replace(all, at, s.lapseSpan()), s.source)
+	s.box.announceUpstreams(s.box.registry.Replace(all, at, s.removalGrace()), s.source)
 }
 
-// lapseSpan is how long an entry that disappears now may come back: only the
-// store's own absence makes entries of living upstreams disappear.
-func (s *storeSink) lapseSpan() clock.Millis {
+// removalGrace returns how long an entry that disappears now may reappear before its upstream is removed. Entries of
+// running upstreams disappear only because of an outage or a restoration of the store.
+func (s *storeSink) removalGrace() clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lapseMs := timingOf(s.box.Settings()).lapseMs
-	if len(s.lost) > 0 {
-		return lapseMs
+	removalGraceMs := timingOf(s.box.Settings()).removalGraceMs
+	if len(s.lostSince) > 0 {
+		return removalGraceMs
 	}
-	backMs := max(s.backMs, s.box.restoredMs())
-	if backMs == 0 {
+	recoveredMs := max(s.recoveredMs, s.box.restoredMs())
+	if recoveredMs == 0 {
 		return 0
 	}
-	return max(0, min(lapseMs, backMs+afterReturnMs-s.box.clock.Steady()))
+	return max(0, min(removalGraceMs, recoveredMs+recoveryGraceMs-s.box.clock.Steady()))
 }
 
-// reached notes when a stream of the store is lost and when it is back.
+// reached records and logs the loss and the recovery of a stream of the store.
 func (s *storeSink) reached(stream string, err error) {
 	now := s.box.clock.Steady()
 	s.mu.Lock()
 	if err != nil {
-		s.failedMs = now
+		s.lastFailureMs = now
 	} else {
-		s.read[stream] = now
+		s.lastReadMs[stream] = now
 	}
-	since, away := s.lost[stream]
+	since, wasLost := s.lostSince[stream]
 	event := decision.Dependency{Dependency: s.source, ID: stream}
 	switch {
-	case err != nil && !away:
-		s.lost[stream] = now
+	case err != nil && !wasLost:
+		s.lostSince[stream] = now
 		event.Lost, event.Err = true, err.Error()
-	case err == nil && away:
-		delete(s.lost, stream)
-		s.backMs = now
+	case err == nil && wasLost:
+		delete(s.lostSince, stream)
+		s.recoveredMs = now
 		event.AwayMs = now - since
 	default:
 		s.mu.Unlock()
 		return
 	}
-	s.box.storeLost.Store(len(s.lost) > 0)
+	s.box.storeLost.Store(len(s.lostSince) > 0)
 	s.mu.Unlock()
 	s.box.log.Tell(event)
 }
 
+// adopt applies a routing state if it is newer, logs it and notifies the other boxes.
 func (b *Box) adopt(state *routing.State, era int64, source string) {
-	if !b.belief.Adopt(state, era) {
+	if !b.routingState.Adopt(state, era) {
 		return
 	}
 	b.log.Tell(decision.StateAdopted{Version: state.Version(), Source: source, Routes: state.RouteCount()})
-	b.noteLearnt()
+	b.updateSynced()
 	b.peering.mesh.Broadcast()
 }
 
-// tellUpstreams tells the log and the other boxes of changes that were news.
-func (b *Box) tellUpstreams(news []registry.Change, source string) {
-	for _, c := range news {
+// announceUpstreams logs effective changes of the upstreams and notifies the other boxes.
+func (b *Box) announceUpstreams(changes []registry.Change, source string) {
+	for _, c := range changes {
 		b.log.Tell(decision.UpstreamChanged{
 			Upstream: c.Upstream.ID, Pool: c.Upstream.Pool, Address: c.Upstream.Address,
-			State: stateOf(c), Source: source,
+			State: upstreamState(c), Source: source,
 		})
 	}
-	b.endings.changed(news)
-	if len(news) > 0 {
-		b.noteLearnt()
+	b.crashes.handleChanges(changes)
+	if len(changes) > 0 {
+		b.updateSynced()
 		b.peering.mesh.Broadcast()
 	}
 }
 
-func stateOf(c registry.Change) string {
+// upstreamState returns the state after a change, as written to the log.
+func upstreamState(c registry.Change) string {
 	switch {
 	case c.Gone:
 		return "gone"
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -17,14 +17,14 @@
 	"dooryard.example/dooryard/internal/pipe/screen"
 )
 
-// step is one step of an opaque request's way.
+// step is one step of the request pipeline.
 type step interface {
 	fmt.Stringer
-	// Run does the step's work. An error ends the steps.
+	// Run processes the request. An error ends the pipeline.
 	Run(r *opaque.Request) error
 }
 
-// steps are the steps of a box.
+// steps holds the pipeline steps of a box.
 type steps struct {
 	match     *match.Pipe
 	authorise *authorise.Pipe
@@ -34,34 +34,34 @@
 	record    *record.Pipe
 }
 
-// list is the table of contents of an opaque request.
+// list returns the steps of the pipeline in the order in which they run.
 func (s *steps) list() []step {
 	return []step{
-		s.match,     // which route and pool, until when
-		s.authorise, // whose key, and may keys be trusted now
-		s.receive,   // the whole body
-		s.screen,    // do upstreams end under it
-		s.dispatch,  // the attempts and the answer
+		s.match,     // finds the route, the pool and the deadline
+		s.authorise, // checks the key, and whether keys may be trusted now
+		s.receive,   // reads the whole body
+		s.screen,    // refuses quarantined requests
+		s.dispatch,  // sends the request to upstreams and returns the response
 	}
 }
 
 func (b *Box) buildSteps() {
 	b.steps = &steps{
-		match:     match.New(b.awaitState, b.missed),
-		authorise: authorise.New(b.belief.AgeMs, b.maxAgeMs, b.missed),
-		receive:   receive.New(b.heldBytes(), b.clock.Steady),
+		match:     match.New(b.awaitState, b.stateMayBeOutdated),
+		authorise: authorise.New(b.routingState.AgeMs, b.maxAgeMs, b.stateMayBeOutdated),
+		receive:   receive.New(b.bodyMemory(), b.clock.Steady),
 		screen:    screen.New(b.quarantine.HeldMs),
 		dispatch: dispatch.New(dispatch.Dependencies{
 			Pick: b.pick, MayRetry: b.budgets.Take, FirstSend: b.budgets.First,
-			AgeMs: b.belief.AgeMs, Tell: b.log.Tell, Reads: b.metrics.Reads,
-			ComeBack: b.balance.ComeBackMs, Hear: b.hear, Observe: b.endings.observe, Whole: b.endings.answered,
-			HeldMs: b.quarantine.HeldMs, Vouch: b.vouch, Clock: b.clock,
+			AgeMs: b.routingState.AgeMs, Tell: b.log.Tell, Reads: b.metrics.PromptTokensRead,
+			ComeBack: b.balance.ComeBackMs, Hear: b.handleFeedback, Observe: b.crashes.observe,
+			Whole: b.crashes.handleCompleted, HeldMs: b.quarantine.HeldMs, Vouch: b.checkBeforeSend, Clock: b.clock,
 		}),
-		record: record.New(b.log.Tell, b.metrics.End, b.belief.AgeMs, b.clock.Steady),
+		record: record.New(b.log.Tell, b.metrics.RequestEnded, b.routingState.AgeMs, b.clock.Steady),
 	}
 }
 
-// ServeHTTP takes a caller's request through the steps.
+// ServeHTTP runs a caller's request through the pipeline.
 func (b *Box) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
 	r := &opaque.Request{
 		ID: hr.Header.Get(b.dialect.RequestID), HTTP: hr, Writer: exchange.NewWriter(w), Dialect: b.dialect,
@@ -73,8 +73,8 @@
 	err := b.run(r)
 	b.steps.receive.Done(r)
 	b.steps.record.Run(r, err)
-	if cut(err) {
-		// The server closes the connection, so that the answer never looks whole.
+	if abortsConnection(err) {
+		// The server closes the connection, so that the response can't be mistaken for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -91,18 +91,17 @@
 	return nil
 }
 
-// unreadBodyMs is how long a refusal waits for a body that nobody reads: enough for
-// what is already on its way.
+// unreadBodyMs is how long a refusal waits for a body that is not needed: long enough for data already in flight.
 const unreadBodyMs clock.Millis = 300
 
-// refuse answers a request that a step ended, unless it is answered already.
+// refuse responds to a request whose pipeline ended with an error, unless a response was already sent.
 func (b *Box) refuse(r *opaque.Request, err error) {
 	var refusal *opaque.RefusalError
 	switch {
-	case errors.Is(err, opaque.ErrAnswered) || cut(err):
+	case errors.Is(err, opaque.ErrAnswered) || abortsConnection(err):
 	case errors.As(err, &refusal):
 		if r.Body == nil && refusal.Cause != opaque.BodyLate {
-			// The server reads what is left of a short body before it answers.
+			// The server reads the rest of a short body before it responds.
 			r.Writer.BoundRead(unreadBodyMs.Duration())
 		}
 		refusal.Write(r)
@@ -112,8 +111,8 @@
 	}
 }
 
-// cut reports whether the caller's connection must break.
-func cut(err error) bool {
+// abortsConnection reports whether the caller's connection must be closed without a complete response.
+func abortsConnection(err error) bool {
 	var refusal *opaque.RefusalError
 	return errors.Is(err, opaque.ErrCut) || errors.As(err, &refusal) && refusal.Cause == opaque.CallerGone
 }
--- a/internal/gateway/store_test.go
+++ b/internal/gateway/store_test.go
@@ -16,27 +16,27 @@
 	"dooryard.example/dooryard/internal/routing"
 )
 
-// errStoreAway is what reads of a store that was cut off get.
-var errStoreAway = errors.New("store away")
+// errStoreUnavailable is the error of reads while the store is unavailable.
+var errStoreUnavailable = errors.New("store unavailable")
 
-// store is the tests' source of routing state. Boxes poll it.
+// store is the source of routing state in tests. Boxes poll it.
 type store struct {
 	mu      sync.Mutex
 	state   *routing.State
 	changes []registry.Change
-	// revision counts the changes so far, in an era.
-	revision int64
-	era      int64
-	away     map[string]bool
-	silent   map[string]bool
-	reads    map[string]int
-	notes    map[string][]byte
-	// slowMs is how long each read takes.
-	slowMs clock.Millis
+	// revision counts the changes in the current era.
+	revision     int64
+	era          int64
+	unavailable  map[string]bool
+	unresponsive map[string]bool
+	reads        map[string]int
+	notes        map[string][]byte
+	// readDelayMs is how long each read takes.
+	readDelayMs clock.Millis
 }
 
 func newStore() *store {
-	return &store{away: map[string]bool{}, silent: map[string]bool{}, reads: map[string]int{}, notes: map[string][]byte{}}
+	return &store{unavailable: map[string]bool{}, unresponsive: map[string]bool{}, reads: map[string]int{}, notes: map[string][]byte{}}
 }
 
 func (s *store) setState(t *testing.T, c routing.Content) {
@@ -55,7 +55,7 @@
 	s.changes = append(s.changes, registry.Change{Upstream: u, Position: position.At(s.era, s.revision)})
 }
 
-// remove takes an upstream's entry away.
+// remove removes an upstream's entry.
 func (s *store) remove(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,23 +63,23 @@
 	s.changes = slices.DeleteFunc(s.changes, func(c registry.Change) bool { return c.Upstream.ID == id })
 }
 
-// copied is what a store comes back with.
-type copied struct {
+// storeSnapshot is a snapshot of the store.
+type storeSnapshot struct {
 	state    *routing.State
 	changes  []registry.Change
 	revision int64
 	notes    map[string][]byte
 }
 
-// copy keeps what the store holds now.
-func (s *store) copy() copied {
+// copy returns a snapshot of the current contents.
+func (s *store) copy() storeSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return copied{state: s.state, changes: slices.Clone(s.changes), revision: s.revision, notes: maps.Clone(s.notes)}
+	return storeSnapshot{state: s.state, changes: slices.Clone(s.changes), revision: s.revision, notes: maps.Clone(s.notes)}
 }
 
-// restore lets the store come back from a copy. Its positions are of a new era then.
-func (s *store) restore(c copied) {
+// restore restores the store from a snapshot and starts a new era.
+func (s *store) restore(c storeSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era++
@@ -90,29 +90,29 @@
 	}
 }
 
-// setAway cuts the store off from a box.
-func (s *store) setAway(box string, away bool) {
+// setUnavailable makes the store fail the reads and writes of a box.
+func (s *store) setUnavailable(box string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away[box] = away
+	s.unavailable[box] = unavailable
 }
 
-// setSlow has each read take a while.
-func (s *store) setSlow(span clock.Millis) {
+// setReadDelay delays each read.
+func (s *store) setReadDelay(span clock.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slowMs = span
+	s.readDelayMs = span
 }
 
-// setSilent has the store leave a box's reads without an answer.
-func (s *store) setSilent(box string, silent bool) {
+// setUnresponsive makes the store leave the reads of a box without a response.
+func (s *store) setUnresponsive(box string, unresponsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent[box] = silent
+	s.unresponsive[box] = unresponsive
 }
 
-// readsOf is how often some boxes have read so far.
-func (s *store) readsOf(boxes []*running) int {
+// readCount returns the number of reads by some boxes so far.
+func (s *store) readCount(boxes []*running) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sum := 0
@@ -124,34 +124,34 @@
 
 const (
 	pollMs clock.Millis = 500
-	// lookMs is how often a box looks whether it should read.
-	lookMs clock.Millis = 100
-	// silenceMs is how long a read without an answer lasts.
-	silenceMs clock.Millis = 2200
+	// sourceCheckIntervalMs is how often a box checks whether it should read.
+	sourceCheckIntervalMs clock.Millis = 100
+	// unresponsiveReadMs is how long a read without a response lasts.
+	unresponsiveReadMs clock.Millis = 2200
 )
 
 func (s *store) source(box string, c clock.Clock) Source {
-	return Source{Name: "store", Notes: s.notesOf(box), Run: func(ctx context.Context, sink Sink) {
+	return Source{Name: "store", Notes: s.notesFor(box), Run: func(ctx context.Context, sink Sink) {
 		nextMs := c.Steady()
-		look := func(clock.Millis) {
+		check := func(clock.Millis) {
 			if c.Steady() >= nextMs && sink.Wanted("all") {
 				s.poll(ctx, box, c, sink)
 				nextMs = c.Steady() + pollMs
 			}
 		}
-		look(nextMs)
-		c.Every(ctx, lookMs, look)
+		check(nextMs)
+		c.Every(ctx, sourceCheckIntervalMs, check)
 	}}
 }
 
-// notesOf are the notes as a box sees them.
-func (s *store) notesOf(box string) Notes {
+// notesFor returns the access of a box to the notes.
+func (s *store) notesFor(box string) Notes {
 	return Notes{
 		Keep: func(_ context.Context, name string, note []byte) error {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.away[box] || s.silent[box] {
-				return errStoreAway
+			if s.unavailable[box] || s.unresponsive[box] {
+				return errStoreUnavailable
 			}
 			s.notes[name] = note
 			if len(note) == 0 {
@@ -167,8 +167,8 @@
 		All: func(context.Context) (map[string][]byte, int64, error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.away[box] || s.silent[box] {
-				return nil, 0, errStoreAway
+			if s.unavailable[box] || s.unresponsive[box] {
+				return nil, 0, errStoreUnavailable
 			}
 			return maps.Clone(s.notes), s.era, nil
 		},
@@ -177,23 +177,23 @@
 
 func (s *store) poll(ctx context.Context, box string, c clock.Clock, sink Sink) {
 	s.mu.Lock()
-	state, changes, away := s.state, append([]registry.Change(nil), s.changes...), s.away[box]
+	state, changes, unavailable := s.state, append([]registry.Change(nil), s.changes...), s.unavailable[box]
 	at := position.At(s.era, s.revision)
-	silent, slowMs := s.silent[box], s.slowMs
+	unresponsive, readDelayMs := s.unresponsive[box], s.readDelayMs
 	s.reads[box]++
 	s.mu.Unlock()
 	sentMs := c.Steady()
-	if slowMs > 0 {
-		// The end of the context shows at the next poll.
-		_ = c.Sleep(ctx, slowMs)
+	if readDelayMs > 0 {
+		// The next poll handles the end of the context.
+		_ = c.Sleep(ctx, readDelayMs)
 	}
-	if silent {
-		// The end of the context shows at the next poll.
-		_ = c.Sleep(ctx, silenceMs)
-		away = true
+	if unresponsive {
+		// The next poll handles the end of the context.
+		_ = c.Sleep(ctx, unresponsiveReadMs)
+		unavailable = true
 	}
-	if away {
-		sink.Reached("all", errStoreAway)
+	if unavailable {
+		sink.Reached("all", errStoreUnavailable)
 		return
 	}
 	sink.Reached("all", nil)
--- a/internal/gateway/streams_test.go
+++ b/internal/gateway/streams_test.go
@@ -14,8 +14,8 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// events writes numbered events and then does something else.
-func events(first, last int, then http.HandlerFunc) http.HandlerFunc {
+// writeEvents returns a handler that writes numbered events and then calls another handler.
+func writeEvents(first, last int, then http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		for i := first; i <= last; i++ {
@@ -25,27 +25,28 @@
 	}
 }
 
-func ends(http.ResponseWriter, *http.Request) {}
+// endStream ends the response normally.
+func endStream(http.ResponseWriter, *http.Request) {}
 
-// torn breaks off within an event.
-func torn(w http.ResponseWriter, r *http.Request) {
+// abortMidEvent closes the connection in the middle of an event.
+func abortMidEvent(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.WriteString(w, "id: 99\nda")
 	_ = http.NewResponseController(w).Flush()
-	broken(w, r)
+	abortConnection(w, r)
 }
 
 const fiveEvents = "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\nid: 4\ndata: 4\n\nid: 5\ndata: 5\n\n"
 
 func TestStreams(t *testing.T) {
-	t.Run("a resumable stream goes on elsewhere without a gap or a double", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("a resumable stream resumes elsewhere without gaps or duplicates", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			t := f.t
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get("Last-Event-Id") == "3" {
-					events(4, 5, ends)(w, r)
+					writeEvents(4, 5, endStream)(w, r)
 					return
 				}
-				events(1, 3, torn)(w, r)
+				writeEvents(1, 3, abortMidEvent)(w, r)
 			}
 			f.upstream("u1", handler)
 			f.upstream("u2", handler)
@@ -55,16 +56,16 @@
 			assert.Equal(t, fiveEvents, body)
 		})
 	})
-	t.Run("a resumable stream that broke before its first event begins again", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("a resumable stream that breaks before its first event restarts", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			t := f.t
 			var calls atomic.Int32
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				if calls.Add(1) == 1 {
-					events(1, 0, torn)(w, r)
+					writeEvents(1, 0, abortMidEvent)(w, r)
 					return
 				}
-				events(1, 5, ends)(w, r)
+				writeEvents(1, 5, endStream)(w, r)
 			}
 			f.upstream("u1", handler)
 			f.upstream("u2", handler)
@@ -73,16 +74,16 @@
 			assert.Equal(t, fiveEvents, body)
 		})
 	})
-	t.Run("a resumable stream behind a way that falls silent goes on elsewhere within 0.5 s", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("a resumable stream whose network path drops all packets resumes elsewhere within 0.5 s", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			t := f.t
 			began := make(chan struct{})
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get("Last-Event-Id") == "3" {
-					events(4, 5, ends)(w, r)
+					writeEvents(4, 5, endStream)(w, r)
 					return
 				}
-				events(1, 3, func(http.ResponseWriter, *http.Request) {})(w, r)
+				writeEvents(1, 3, func(http.ResponseWriter, *http.Request) {})(w, r)
 				_ = http.NewResponseController(w).Flush()
 				close(began)
 				<-r.Context().Done()
@@ -91,7 +92,7 @@
 			f.upstreamIn("far", "e", handler)
 			b := f.box(1)
 			f.box(2, func(g *config.Gateway) { g.Contacts = []string{b.settings.PeersAddress} })
-			pass(t, time.Second)
+			advance(t, time.Second)
 			silentSince := make(chan time.Time, 1)
 			go func() {
 				<-began
@@ -106,15 +107,15 @@
 			assert.Less(t, time.Since(<-silentSince), 500*time.Millisecond)
 		})
 	})
-	t.Run("a resumable stream goes on elsewhere when its events stop coming", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("a resumable stream resumes elsewhere if its events stop", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			t := f.t
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get("Last-Event-Id") == "3" {
-					events(4, 5, ends)(w, r)
+					writeEvents(4, 5, endStream)(w, r)
 					return
 				}
-				events(1, 3, func(w http.ResponseWriter, r *http.Request) {
+				writeEvents(1, 3, func(w http.ResponseWriter, r *http.Request) {
 					_ = http.NewResponseController(w).Flush()
 					<-r.Context().Done()
 				})(w, r)
@@ -129,33 +130,33 @@
 			assert.Equal(t, 900*time.Millisecond, time.Since(began))
 		})
 	})
-	t.Run("a stream that may not be resumed breaks visibly", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("a broken stream that is not resumable fails visibly", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			t := f.t
 			var arrivals atomic.Int32
-			f.upstream("u1", counted(&arrivals, events(1, 3, torn)))
-			f.upstream("u2", counted(&arrivals, events(1, 3, torn)))
+			f.upstream("u1", countRequests(&arrivals, writeEvents(1, 3, abortMidEvent)))
+			f.upstream("u2", countRequests(&arrivals, writeEvents(1, 3, abortMidEvent)))
 			_, _, err := f.box(1).get("/stream/")
 			require.Error(t, err)
 			assert.Equal(t, int32(1), arrivals.Load())
 		})
 	})
-	t.Run("a whole stream comes whole", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("a complete stream arrives completely", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			t := f.t
-			f.upstream("u1", events(1, 5, ends))
+			f.upstream("u1", writeEvents(1, 5, endStream))
 			_, body, err := f.box(1).get("/stream/")
 			require.NoError(t, err)
 			assert.Equal(t, fiveEvents, body)
 		})
 	})
-	t.Run("events come as soon as they are made", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("events are forwarded without delay", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			t := f.t
-			f.upstream("u1", events(1, 1, func(w http.ResponseWriter, r *http.Request) {
+			f.upstream("u1", writeEvents(1, 1, func(w http.ResponseWriter, r *http.Request) {
 				_ = http.NewResponseController(w).Flush()
-				pass(f.t, time.Second)
-				events(2, 5, ends)(w, r)
+				advance(f.t, time.Second)
+				writeEvents(2, 5, endStream)(w, r)
 			}))
 			response, err := f.box(1).send(t.Context(), call{method: "GET", path: "/stream/", id: "1", key: key})
 			require.NoError(t, err)
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -20,20 +20,21 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// A machine may be suspended for seconds. Its boxes took their proofs of keys and versions for
-// young, deadlines for far and other boxes for gone, and sent on what had been decided before,
-// since the clock they read, and the timers that wait on it, don't count that time. In these
-// tests a suspension moves the boxes' clock on at once, while the timers of the bubble wait on.
+// The tests of this file guard against decisions on stale state after a machine was suspended for seconds. A clock, and
+// the timers that wait on it, that do not count the suspension make confirmations of keys and versions look recent,
+// deadlines look distant and other boxes look gone, and requests are sent on decisions from before. In these tests a
+// suspension advances the boxes' clock at once, while the timers on the fake clock keep waiting.
 
+// suspendedMs is the length of the suspension.
 const suspendedMs = 10 * clock.Second
 
-// gated is a body of which the rest comes once the gate is open.
-type gated struct {
+// gatedBody is a request body whose second half is sent once the gate channel is closed.
+type gatedBody struct {
 	gate chan struct{}
 	sent int
 }
 
-func (g *gated) Read(part []byte) (int, error) {
+func (g *gatedBody) Read(part []byte) (int, error) {
 	g.sent++
 	switch g.sent {
 	case 1:
@@ -46,9 +47,8 @@
 	}
 }
 
-// sendHalf sends a request of which half the body comes before the gate opens, and returns
-// where its status will be.
-func (r *running) sendHalf(path string, body *gated) <-chan int {
+// sendGatedBody sends a request with a gated body, and returns the channel that receives the response status.
+func (r *running) sendGatedBody(path string, body *gatedBody) <-chan int {
 	status := make(chan int, 1)
 	client := r.client()
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+host+path, body)
@@ -69,93 +69,93 @@
 }
 
 func TestSuspended(t *testing.T) {
-	t.Run("a request whose key was accepted before is not sent on an old proof", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("a request whose key was accepted before is not sent on an old confirmation", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			var arrivals atomic.Int32
-			f.upstream("u1", counted(&arrivals, answer("done")))
-			// Shorter than the route's time-out, so that the request itself is in time.
+			f.upstream("u1", countRequests(&arrivals, respondWith("done")))
+			// Shorter than the route's timeout, so that the deadline of the request has not passed.
 			const trustedMs = 2000
 			b := f.box(1, func(g *config.Gateway) { g.Freshness.MaxAgeMs = trustedMs })
-			pass(f.t, time.Second)
-			body := &gated{gate: make(chan struct{})}
-			status := b.sendHalf("/unsafe/", body)
-			pass(f.t, 100*time.Millisecond)
-			f.store.setAway("box-1", true)
-			f.skipSteady(trustedMs)
+			advance(f.t, time.Second)
+			body := &gatedBody{gate: make(chan struct{})}
+			status := b.sendGatedBody("/unsafe/", body)
+			advance(f.t, 100*time.Millisecond)
+			f.store.setUnavailable("box-1", true)
+			f.advanceSteady(trustedMs)
 			close(body.gate)
 			assert.Equal(f.t, http.StatusServiceUnavailable, <-status)
 			assert.Zero(f.t, arrivals.Load())
 		})
 	})
-	t.Run("a request whose time passed meanwhile is not sent", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("a request whose deadline passed during the suspension is not sent", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			var arrivals atomic.Int32
-			f.upstream("u1", counted(&arrivals, answer("done")))
+			f.upstream("u1", countRequests(&arrivals, respondWith("done")))
 			b := f.box(1, func(g *config.Gateway) { g.Freshness.MaxAgeMs = 60_000 })
-			pass(f.t, time.Second)
-			body := &gated{gate: make(chan struct{})}
-			status := b.sendHalf("/unsafe/", body)
-			pass(f.t, 100*time.Millisecond)
-			f.skipSteady(suspendedMs)
+			advance(f.t, time.Second)
+			body := &gatedBody{gate: make(chan struct{})}
+			status := b.sendGatedBody("/unsafe/", body)
+			advance(f.t, 100*time.Millisecond)
+			f.advanceSteady(suspendedMs)
 			close(body.gate)
 			assert.Contains(f.t, []int{http.StatusGatewayTimeout, http.StatusServiceUnavailable, http.StatusRequestTimeout}, <-status)
 			assert.Zero(f.t, arrivals.Load())
 		})
 	})
-	t.Run("an attempt whose time passed meanwhile ends on waking", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("an attempt whose deadline passed during the suspension ends on resume", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			f.upstream("u1", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 			b := f.box(1)
-			pass(f.t, time.Second)
+			advance(f.t, time.Second)
 			ended := make(chan int, 1)
 			go func() {
 				status, _, _ := b.get("/unsafe/")
 				ended <- status
 			}()
-			pass(f.t, 500*time.Millisecond)
-			f.skipSteady(suspendedMs)
-			pass(f.t, 200*time.Millisecond)
+			advance(f.t, 500*time.Millisecond)
+			f.advanceSteady(suspendedMs)
+			advance(f.t, 200*time.Millisecond)
 			select {
 			case status := <-ended:
 				assert.Equal(f.t, http.StatusGatewayTimeout, status)
 			default:
-				assert.Fail(f.t, "the attempt goes on after its time")
+				assert.Fail(f.t, "the attempt continues after its deadline")
 			}
 		})
 	})
-	t.Run("nothing is sent to an upstream that left meanwhile", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("nothing is sent to an upstream that started draining during the suspension", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			var arrivals atomic.Int32
-			f.upstream("u1", counted(&arrivals, answer("done")))
-			f.upstreamIn("u2", "e", answer("done"))
+			f.upstream("u1", countRequests(&arrivals, respondWith("done")))
+			f.upstreamIn("u2", "e", respondWith("done"))
 			b := f.box(1)
-			pass(f.t, time.Second)
-			f.leaves("u1")
-			f.skipSteady(suspendedMs)
+			advance(f.t, time.Second)
+			f.setDraining("u1")
+			f.advanceSteady(suspendedMs)
 			status, _, err := b.get("/safe/")
 			require.NoError(f.t, err)
 			assert.Equal(f.t, http.StatusOK, status)
-			assert.Zero(f.t, arrivals.Load(), "before the box has heard anew")
+			assert.Zero(f.t, arrivals.Load(), "sent before the box has refreshed its state")
 		})
 	})
-	t.Run("a request whose caller left meanwhile is not sent", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("a request whose caller has disconnected is not sent", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			b := f.box(1)
 			ctx, leave := context.WithCancel(f.t.Context())
 			request := &opaque.Request{HTTP: httptest.NewRequestWithContext(ctx, http.MethodGet, "/unsafe/", nil)}
 			leave()
 			var refusal *opaque.RefusalError
-			require.ErrorAs(f.t, b.vouch(request), &refusal)
+			require.ErrorAs(f.t, b.checkBeforeSend(request), &refusal)
 			assert.Equal(f.t, opaque.CallerGone, refusal.Cause)
 		})
 	})
-	t.Run("requests don't wait for long where nobody can be heard", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
-			f.upstream("u1", answer("done"))
+	t.Run("requests wait only briefly if no refresh succeeds", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
+			f.upstream("u1", respondWith("done"))
 			b := f.box(1, func(g *config.Gateway) { g.Freshness.MaxAgeMs = 0 })
-			pass(f.t, time.Second)
-			f.store.setAway("box-1", true)
-			f.skipSteady(suspendedMs)
+			advance(f.t, time.Second)
+			f.store.setUnavailable("box-1", true)
+			f.advanceSteady(suspendedMs)
 			began := clock.New().Steady()
 			status, _, err := b.get("/safe/")
 			require.NoError(f.t, err)
@@ -163,14 +163,14 @@
 			assert.LessOrEqual(f.t, clock.New().Steady()-began, clock.Millis(500))
 		})
 	})
-	t.Run("the other boxes still count, so that the slack of retries stays shared", func(t *testing.T) {
-		bubble(t, func(f *fleet) {
+	t.Run("the other boxes still count, so that the retry slack stays shared", func(t *testing.T) {
+		runWithFleet(t, func(f *fleet) {
 			boxes := f.boxes(5)
-			pass(f.t, 3100*time.Millisecond)
-			f.skipSteady(suspendedMs)
+			advance(f.t, 3100*time.Millisecond)
+			f.advanceSteady(suspendedMs)
 			for range 20 {
-				pass(f.t, 50*time.Millisecond)
-				// What else is due at this instant runs first.
+				advance(f.t, 50*time.Millisecond)
+				// Lets everything else that is due at this instant run first.
 				synctest.Wait()
 				for _, b := range boxes {
 					assert.Equal(f.t, 5, b.peering.mesh.Boxes())
@@ -180,35 +180,35 @@
 	})
 }
 
-// TestSlowBox has a box run late all the time, as on a machine that is slowed: the others that
-// are gone must not count for ever because each of its looks comes late.
+// TestSlowBox guards against other boxes that never expire on a machine that is slow all the time, where each check is
+// late.
 func TestSlowBox(t *testing.T) {
-	bubble(t, func(f *fleet) {
+	runWithFleet(t, func(f *fleet) {
 		first := f.boxes(2)[0]
-		pass(f.t, 2*time.Second)
+		advance(f.t, 2*time.Second)
 		f.network.SetCut(func(from, to string) bool { return from != to && isBox(from) && isBox(to) })
 		for range 100 {
-			f.skipSteady(200)
-			pass(f.t, 50*time.Millisecond)
+			f.advanceSteady(200)
+			advance(f.t, 50*time.Millisecond)
 		}
 		synctest.Wait()
 		assert.Equal(f.t, 1, first.peering.mesh.Boxes())
 	})
 }
 
-// TestSuspendedSessions has sessions, one of them usual at the upstream that left, come in
-// the first instant after a suspension.
+// TestSuspendedSessions sends requests of several sessions immediately after a suspension. One of the sessions prefers
+// the upstream that started draining.
 func TestSuspendedSessions(t *testing.T) {
-	bubble(t, func(f *fleet) {
+	runWithFleet(t, func(f *fleet) {
 		var late atomic.Int32
 		for i := range 6 {
-			f.upstream("u"+strconv.Itoa(i), answer("done"))
+			f.upstream("u"+strconv.Itoa(i), respondWith("done"))
 		}
-		f.upstream("left", counted(&late, answer("done")))
+		f.upstream("left", countRequests(&late, respondWith("done")))
 		b := f.box(1)
-		pass(f.t, time.Second)
+		advance(f.t, time.Second)
 		f.store.put(registry.Upstream{ID: "left", Pool: "p", Address: "127.0.0.1:1", FailureDomain: "d", Slots: 8, Draining: true})
-		f.skipSteady(suspendedMs)
+		f.advanceSteady(suspendedMs)
 		for i := range 20 {
 			response, err := b.send(context.Background(), call{
 				method: http.MethodGet, path: "/sticky/", id: "1", key: key, header: http.Header{"X-Prompt": {"s" + strconv.Itoa(i) + ":100"}},
--- a/internal/gateway/timing.go
+++ b/internal/gateway/timing.go
@@ -5,69 +5,67 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// Spans that the operators' bounds have to leave room for.
+// Delays that must fit into the operators' bounds.
 const (
-	// ownReadMarginMs is how much older than usual a proof must be at least before a
-	// box reads the store by itself: about the way of one answer.
-	ownReadMarginMs clock.Millis = 100
-	// ownReadLeadMs is how long a box needs to look, to read the store and to act on
-	// it, when the store is slow by some ten times.
-	ownReadLeadMs clock.Millis = 400
-	// lapseLeadMs is how long after an entry has disappeared a box hears of it at most:
-	// entries gather for 0.25 s before the store is read again.
-	lapseLeadMs clock.Millis = 300
+	// directReadMarginMs is the minimum by which a confirmation must exceed its usual age before a box reads the store
+	// directly: about the transit time of one answer.
+	directReadMarginMs clock.Millis = 100
+	// directReadLeadMs is how long a box needs to notice the age, read the store and apply the result if the store is
+	// about ten times slower than usual.
+	directReadLeadMs clock.Millis = 400
+	// removalLeadMs is the maximum delay between the removal of an entry and its receipt by a box: changes are batched
+	// for 0.25 s before the store is read again.
+	removalLeadMs clock.Millis = 300
 )
 
-// Bounds of what follows from the operators' bounds.
+// Limits of the values that are derived from the operators' bounds.
 const (
-	// usualPeriodMs is the period of the mesh where there is time: a load that is this
-	// old on top of a round trip is about as fresh as an upstream's own report.
-	usualPeriodMs clock.Millis = 250
-	// periodsInSlack is how many periods fit into the age at which a box reads by itself:
-	// two rounds pass before it has asked its source again, and the read's wait is longer.
+	// maxPeriodMs is the gossip period unless the bounds require a shorter one. A load of this age plus a round trip
+	// is about as fresh as an upstream's own report.
+	maxPeriodMs clock.Millis = 250
+	// periodsInSlack is the number of gossip periods that fit into the age at which a box reads the store directly. Two
+	// rounds pass before the box has asked its reader again, and the wait of a read is longer than that.
 	periodsInSlack = 6
-	// mostPollMs is the longest wait of a read. Longer ones save reads of the few boxes that
-	// read for others, but proofs then come so late that all boxes read by themselves
-	// whenever a large version is on its way: 1,712 calls on a day with 87 boxes and waits
-	// of 2 s, 1,390 with 1 s.
-	mostPollMs clock.Millis = 1000
-	// mostLapseMs is how long an entry may stay away after its store was lost for a while:
-	// upstreams write theirs anew within about two seconds of its return.
-	mostLapseMs clock.Millis = 1700
-	// mostNoticeMs is how long the entry may take to miss two answers and send no new
-	// connections.
-	mostNoticeMs clock.Millis = 2600
-	// noticePart is the part of the grace that is spent on it at most.
-	noticePart = 2
+	// maxPollMs is the longest wait of a long-polling read. Longer waits save reads of the few boxes that read for
+	// others, but delay confirmations so much that all boxes read directly whenever a large version is in transit: a
+	// run with 87 boxes made 1,712 calls with waits of 2 s and 1,390 with 1 s.
+	maxPollMs clock.Millis = 1000
+	// maxRemovalGraceMs is how long an entry may stay missing after an outage of its store. Upstreams rewrite their
+	// entries within about two seconds of the recovery.
+	maxRemovalGraceMs clock.Millis = 1700
+	// maxAnnounceMs is how long the front load balancer may take to see two failed readiness checks and stop sending
+	// new connections.
+	maxAnnounceMs clock.Millis = 2600
+	// announceDivisor limits the announcement to this fraction of the grace period.
+	announceDivisor = 2
 )
 
-// timing is what a box does when, so that the operators' bounds are kept.
+// timing holds the intervals with which a box keeps the operators' bounds.
 type timing struct {
-	// periodMs is the time between two rounds of the mesh.
+	// periodMs is the time between two gossip rounds.
 	periodMs clock.Millis
-	// pollMs is how long one read of the store waits for news.
+	// pollMs is how long one read of the store waits for changes.
 	pollMs clock.Millis
-	// lapseMs is how long an entry that disappeared while the store was away may come
-	// back before its upstream counts as gone.
-	lapseMs clock.Millis
-	// noticeMs is how long a box that stops still takes requests.
-	noticeMs clock.Millis
+	// removalGraceMs is how long an entry that disappeared because of a store outage may reappear before its upstream
+	// counts as gone.
+	removalGraceMs clock.Millis
+	// announceMs is how long a box that shuts down still accepts requests.
+	announceMs clock.Millis
 }
 
-// timingOf derives the timing from settings with their defaults. With bounds of 1 s in
-// place of 2 s boxes that kept fixed times sent work to upstreams up to 1.5 s after those
-// said that they leave.
+// timingOf derives the timing from settings with defaults applied. With fixed intervals and bounds of 1 s instead of
+// 2 s, boxes sent requests to upstreams up to 1.5 s after those had announced that they are draining.
 func timingOf(g config.Gateway) timing {
 	leave := clock.Millis(g.Freshness.LeaveMs)
-	slack := max(0, min(leave, clock.Millis(g.Freshness.InForceMs))-ownReadLeadMs)
+	slack := max(0, min(leave, clock.Millis(g.Freshness.InForceMs))-directReadLeadMs)
 	t := timing{
-		periodMs: max(1, min(usualPeriodMs, slack/periodsInSlack)),
-		lapseMs:  max(0, min(mostLapseMs, leave-lapseLeadMs)),
-		noticeMs: min(mostNoticeMs, graceOf(g)/noticePart),
+		periodMs:       max(1, min(maxPeriodMs, slack/periodsInSlack)),
+		removalGraceMs: max(0, min(maxRemovalGraceMs, leave-removalLeadMs)),
+		announceMs:     min(maxAnnounceMs, shutdownGrace(g)/announceDivisor),
 	}
-	t.pollMs = max(1, min(mostPollMs, slack-2*t.periodMs-ownReadMarginMs))
+	t.pollMs = max(1, min(maxPollMs, slack-2*t.periodMs-directReadMarginMs))
 	if g.Freshness.MaxAgeMs > 0 {
-		// A proof must not be too old because one read failed.
+		// One failed read must not make a confirmation too old.
 		t.pollMs = min(t.pollMs, clock.Millis(g.Freshness.MaxAgeMs)/2)
 	}
 	if g.Store.PollMs > 0 {
@@ -76,16 +74,17 @@
 	return t
 }
 
-// PollMs is how long one read of the store waits for news under some settings.
+// PollMs returns how long one read of the store waits for changes with these settings.
 func PollMs(g config.Gateway) clock.Millis { return timingOf(g).pollMs }
 
-// ownReadAgeMs is the age of the proof from which a box reads the store by itself, though
-// others read for it, with the mesh's period as it is.
-func (t timing) ownReadAgeMs(g config.Gateway, period clock.Millis) clock.Millis {
-	usual := t.pollMs + 2*period + ownReadMarginMs
-	return max(usual, clock.Millis(min(g.Freshness.LeaveMs, g.Freshness.InForceMs))-ownReadLeadMs)
+// directReadAgeMs returns the age of the confirmation above which a box reads the store directly, even if others read
+// for it. Period is the current gossip period.
+func (t timing) directReadAgeMs(g config.Gateway, period clock.Millis) clock.Millis {
+	typicalMs := t.pollMs + 2*period + directReadMarginMs
+	return max(typicalMs, clock.Millis(min(g.Freshness.LeaveMs, g.Freshness.InForceMs))-directReadLeadMs)
 }
 
-func graceOf(g config.Gateway) clock.Millis {
+// shutdownGrace returns the time that a graceful shutdown may take.
+func shutdownGrace(g config.Gateway) clock.Millis {
 	return clock.Millis(g.Shutdown.GraceS * float64(clock.Second))
 }
