--- /dev/null
+++ b/internal/gateway/crashes.go
@@ -0,0 +1,254 @@
+package gateway
+
+import (
+	"context"
+	"slices"
+	"sync"
+
+	"dooryard.example/dooryard/internal/clock"
+	"dooryard.example/dooryard/internal/decision"
+	"dooryard.example/dooryard/internal/pipe/dispatch"
+	"dooryard.example/dooryard/internal/quarantine"
+	"dooryard.example/dooryard/internal/registry"
+	"dooryard.example/dooryard/internal/upstream"
+)
+
+const (
+	// observationQueueSize is the length of the observation queue: more than the requests that one upstream runs for
+	// a box. Observations that do not fit are dropped.
+	observationQueueSize = 256
+	// maxSuspectsPerUpstream bounds the suspects of one upstream for the same reason.
+	maxSuspectsPerUpstream = 256
+	// breakSettleMs is how long a box waits for all connections to a crashed upstream to break. In the logs of six
+	// boxes they broke within 2 ms.
+	breakSettleMs clock.Millis = 5
+	// suspectRetentionMs is the longest time between a broken connection and the removal of the upstream's registry
+	// entry for both to be attributed to one crash. An entry outlives its upstream by about a third of this time.
+	suspectRetentionMs = 10 * clock.Second
+	// abandonedProbeDelayMs is the delay between abandoning a request and probing whether the upstream crashed while
+	// running it. Upstreams crashed 3 ms to 65 ms after they had started to run such a request.
+	abandonedProbeDelayMs clock.Millis = 100
+	// maxAbandonedAgeMs is how long before the detection of a crash a request may have been abandoned to be attributed
+	// to it, whether a probe or another request detected the crash.
+	maxAbandonedAgeMs = clock.Second
+)
+
+// suspect is a request that may have crashed an upstream.
+type suspect struct {
+	fingerprint quarantine.Fingerprint
+	upstream    registry.Upstream
+	atMs        clock.Millis
+	// abandoned is set if this box closed the connection first.
+	abandoned bool
+}
+
+// suspects holds the requests that may have crashed one upstream.
+type suspects struct {
+	list []suspect
+	// probing is set while a probe checks whether the upstream has crashed.
+	probing bool
+}
+
+// crashes detects upstreams that crashed while they ran requests. If the host refuses new connections right after some
+// broke, the upstream has crashed. If the host does not respond, the crash is detected when the upstream's registry
+// entry disappears. After a mere connection reset, new connections open.
+type crashes struct {
+	box      *Box
+	observed chan dispatch.Observation
+
+	mu sync.Mutex
+	// byID holds the suspects of the last suspectRetentionMs, by upstream ID.
+	byID map[string]*suspects
+}
+
+func newCrashes(b *Box) *crashes {
+	return &crashes{
+		box: b, observed: make(chan dispatch.Observation, observationQueueSize), byID: map[string]*suspects{},
+	}
+}
+
+// observe queues the observation of an attempt. It never blocks.
+func (d *crashes) observe(o dispatch.Observation) {
+	select {
+	case d.observed <- o:
+	default:
+	}
+}
+
+// run processes queued observations until the context ends.
+func (d *crashes) run(ctx context.Context) {
+	var probing sync.WaitGroup
+	defer probing.Wait()
+	for {
+		select {
+		case o := <-d.observed:
+			switch {
+			case o.Sign == dispatch.Refused:
+				d.handleTermination(o.Member.ID, "", true)
+			case d.addSuspect(o):
+				probing.Go(func() { d.probeUpstream(ctx, o) })
+			}
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// addSuspect records a suspect and reports whether the upstream must be probed.
+func (d *crashes) addSuspect(o dispatch.Observation) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	entry := d.byID[o.Member.ID]
+	if entry == nil {
+		entry = &suspects{}
+		d.byID[o.Member.ID] = entry
+	}
+	abandoned := o.Sign == dispatch.GivenUp
+	if len(entry.list) < maxSuspectsPerUpstream {
+		entry.list = append(entry.list, suspect{
+			fingerprint: o.Fingerprint, upstream: o.Member.Identity(), atMs: d.box.clock.Steady(), abandoned: abandoned,
+		})
+	}
+	first := !entry.probing
+	entry.probing = true
+	return first
+}
+
+// probeUpstream checks whether an upstream has crashed.
+func (d *crashes) probeUpstream(ctx context.Context, o dispatch.Observation) {
+	member, wait := o.Member, breakSettleMs
+	if o.Sign == dispatch.GivenUp {
+		wait = abandonedProbeDelayMs
+	}
+	for again := true; again; {
+		// If the context ends, the connection fails.
+		_ = d.box.clock.Sleep(ctx, wait)
+		startMs := d.box.clock.Steady()
+		found := member.Client().Liveness(ctx)
+		again = d.handleProbeResult(member.ID, found, startMs) && ctx.Err() == nil
+		if found == upstream.Ended || !d.box.registry.Has(member.Identity()) {
+			d.handleTermination(member.ID, "", found == upstream.Ended)
+		}
+	}
+}
+
+// handleProbeResult processes the result of a probe. An upstream that is alive was not crashed by the requests whose
+// connections broke before the probe. An upstream that does not respond may have been crashed by the requests that
+// were abandoned because it did not respond. handleProbeResult reports whether more connections have broken since, so
+// that the upstream must be probed again.
+func (d *crashes) handleProbeResult(id string, found upstream.Liveness, startMs clock.Millis) (again bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	entry := d.byID[id]
+	if entry == nil {
+		return false
+	}
+	switch found {
+	case upstream.Alive:
+		entry.list = slices.DeleteFunc(entry.list, func(s suspect) bool { return !s.abandoned && s.atMs < startMs })
+		again = slices.ContainsFunc(entry.list, func(s suspect) bool { return !s.abandoned })
+	case upstream.Silent:
+		for i := range entry.list {
+			entry.list[i].abandoned = false
+		}
+	case upstream.Ended:
+	}
+	entry.probing = again
+	return again
+}
+
+// handleChanges processes registry changes. If an entry has disappeared or its server has restarted, the previous
+// incarnation has terminated.
+func (d *crashes) handleChanges(changes []registry.Change) {
+	for _, c := range changes {
+		successor := c.Upstream.Incarnation()
+		if c.Gone {
+			successor = ""
+		}
+		d.handleTermination(c.Upstream.ID, successor, false)
+	}
+}
+
+// handleTermination processes the termination of all incarnations of an upstream except its successor, or of all if
+// successor is empty. Recent is set if the upstream terminated a short time ago.
+func (d *crashes) handleTermination(id, successor string, recent bool) {
+	list := d.removeSuspects(id, successor, recent)
+	if len(list) == 0 {
+		return
+	}
+	fingerprints, quarantined := make([]string, 0, len(list)), false
+	for _, s := range list {
+		fingerprints = append(fingerprints, s.fingerprint.String())
+		if d.box.quarantine.Ended(s.fingerprint, s.upstream.Key()) {
+			quarantined = true
+			d.logQuarantined(s.fingerprint, "this box")
+		}
+	}
+	d.box.metrics.UpstreamEnded()
+	d.box.log.Tell(decision.UpstreamEnded{Upstream: list[0].upstream.Incarnation(), Fingerprints: fingerprints})
+	if quarantined {
+		d.box.peering.mesh.BroadcastEndings()
+	}
+}
+
+// removeSuspects removes and returns the suspects of all incarnations of an upstream except its successor. Of the
+// abandoned requests it returns only the newest, and only if the termination is recent.
+func (d *crashes) removeSuspects(id, successor string, recent bool) []suspect {
+	now := d.box.clock.Steady()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	entry := d.byID[id]
+	if entry == nil {
+		return nil
+	}
+	taken, kept := []suspect{}, []suspect{}
+	for _, s := range entry.list {
+		switch {
+		case successor != "" && s.upstream.Incarnation() == successor:
+			kept = append(kept, s)
+		case !s.abandoned || recent && now-s.atMs <= maxAbandonedAgeMs:
+			taken = append(taken, s)
+		case entry.probing:
+			// The running probe decides whether the host responds.
+			kept = append(kept, s)
+		}
+	}
+	entry.list = kept
+	return taken
+}
+
+// handleCompleted processes a complete response to a request with this fingerprint.
+func (d *crashes) handleCompleted(fingerprint quarantine.Fingerprint) {
+	if d.box.quarantine.Answered(fingerprint) {
+		d.box.log.Tell(decision.Quarantined{Fingerprint: fingerprint.String(), Source: "this box"})
+	}
+}
+
+// learnFromPeer processes crashes that another box reported.
+func (d *crashes) learnFromPeer(list []quarantine.Ending) { d.learnFrom("another box", list) }
+
+func (d *crashes) learnFrom(source string, list []quarantine.Ending) {
+	for _, fingerprint := range d.box.quarantine.Learn(list, d.box.peering.mesh.Large()) {
+		d.logQuarantined(fingerprint, source)
+	}
+}
+
+func (d *crashes) logQuarantined(fingerprint quarantine.Fingerprint, source string) {
+	d.box.log.Tell(decision.Quarantined{
+		Fingerprint: fingerprint.String(), Upstreams: d.box.quarantine.Settings().Ends,
+		HoldMs: d.box.quarantine.HeldMs(fingerprint), Source: source,
+	})
+}
+
+// expire removes suspects that are too old to be attributed to a crash.
+func (d *crashes) expire() {
+	oldest := d.box.clock.Steady() - suspectRetentionMs
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for upstream, entry := range d.byID {
+		entry.list = slices.DeleteFunc(entry.list, func(s suspect) bool { return s.atMs < oldest })
+		if len(entry.list) == 0 && !entry.probing {
+			delete(d.byID, upstream)
+		}
+	}
+}
--- /dev/null
+++ b/internal/gateway/ignored_inputs.go
@@ -0,0 +1,48 @@
+package gateway
+
+import (
+	"sync"
+
+	"dooryard.example/dooryard/internal/clock"
+	"dooryard.example/dooryard/internal/decision"
+)
+
+const (
+	// relogIntervalMs is the minimum time between two log lines about the same invalid input. Its writer may write it
+	// many times a second.
+	relogIntervalMs = 10 * clock.Second
+	// maxTrackedInputs bounds the inputs that are tracked. When it is reached all are dropped, so that their next
+	// errors are logged again.
+	maxTrackedInputs = 256
+)
+
+// ignoredInputLog limits the rate of log lines about invalid inputs.
+type ignoredInputLog struct {
+	box *Box
+
+	mu         sync.Mutex
+	lastLogged map[string]clock.Millis
+}
+
+// Ignored counts an invalid input and logs it, at a limited rate.
+func (b *Box) Ignored(input string, err error) {
+	b.metrics.InputIgnored()
+	if b.ignoredInputs.shouldLog(input) {
+		b.log.Tell(decision.InputIgnored{Input: input, Err: err.Error()})
+	}
+}
+
+// shouldLog reports whether an error of this input is to be logged now.
+func (l *ignoredInputLog) shouldLog(input string) bool {
+	now := l.box.clock.Steady()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if at, known := l.lastLogged[input]; known && now-at < relogIntervalMs {
+		return false
+	}
+	if len(l.lastLogged) >= maxTrackedInputs {
+		clear(l.lastLogged)
+	}
+	l.lastLogged[input] = now
+	return true
+}
--- /dev/null
+++ b/internal/gateway/notes_sync.go
@@ -0,0 +1,228 @@
+package gateway
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+
+	"dooryard.example/dooryard/internal/clock"
+	"dooryard.example/dooryard/internal/namekey"
+	"dooryard.example/dooryard/internal/quarantine"
+)
+
+// Notes gives access to the notes in the store: small records that boxes write for boxes that start later or that
+// they can't reach.
+type Notes struct {
+	// Keep writes a note under a name; an empty note deletes it.
+	Keep func(ctx context.Context, name string, note []byte) error
+	// All returns all notes by their names, and the era of the store that holds them.
+	All func(ctx context.Context) (notes map[string][]byte, era int64, err error)
+	// Era returns the newest era of the store that was observed. A change of era means that notes may be lost.
+	Era func() int64
+}
+
+const (
+	// noteSyncIntervalMs is how often a box checks for fingerprints to note. It is short compared to the time
+	// between a crash and a possible kill of all boxes.
+	noteSyncIntervalMs clock.Millis = 250
+	// noteRereadIntervalMs is how often a box that reads the store for others rereads the notes while a known box is
+	// unreachable: a request may crash upstreams on both sides of a partition.
+	noteRereadIntervalMs clock.Millis = 2500
+	// minNotesRetryMs and maxNotesRetryMs bound the exponential backoff after failed calls. Each failed call is
+	// charged for. The maximum is shorter than the time within which boxes must act on what the store has returned.
+	minNotesRetryMs clock.Millis = 500
+	maxNotesRetryMs clock.Millis = 2000
+	// minNotedCrashes is the number of crashed upstreams from which a request is noted while a box is unreachable.
+	// Requests that merely ran next to the cause of a crash are rarely involved in a second one.
+	minNotedCrashes = 2
+)
+
+// errInvalidNote marks a note that can't be decoded.
+var errInvalidNote = errors.New("invalid note")
+
+// suspectNote is the stored form of a fingerprint whose requests crashed upstreams.
+type suspectNote struct {
+	Fingerprint quarantine.Fingerprint `json:"fingerprint"`
+	// Upstreams are the incarnations that crashed while running such a request.
+	Upstreams []namekey.Key `json:"upstreams"`
+	// EndedMs is the wall-clock time of the newest crash, by the clock of the box that wrote the note. It only
+	// bounds an age of minutes, so a clock skew of some seconds does no harm.
+	EndedMs clock.Millis `json:"ended_ms"`
+}
+
+// UnmarshalJSON implements json.Unmarshaler.
+func (n *suspectNote) UnmarshalJSON(data []byte) error {
+	type plain suspectNote
+	if err := json.Unmarshal(data, (*plain)(n)); err != nil {
+		return fmt.Errorf("%w: %w", errInvalidNote, err)
+	}
+	switch {
+	case n.Fingerprint == 0:
+		return fmt.Errorf("%w: fingerprint is missing", errInvalidNote)
+	case len(n.Upstreams) == 0:
+		return fmt.Errorf("%w: upstreams are missing", errInvalidNote)
+	default:
+		return nil
+	}
+}
+
+// crashes returns the crashes that the note records.
+func (n *suspectNote) crashes(now clock.Millis) []quarantine.Ending {
+	list := make([]quarantine.Ending, 0, len(n.Upstreams))
+	for _, upstream := range n.Upstreams {
+		list = append(list, quarantine.Ending{
+			Fingerprint: n.Fingerprint, Upstream: upstream, AgeMs: max(0, now-n.EndedMs),
+		})
+	}
+	return list
+}
+
+// noteSyncer reads the notes and, while this box reads the store for others, keeps the notes of its failure domain up
+// to date. Without notes a request crashes more upstreams after all boxes were killed: of 20 attempts made later than
+// 3 s after the third crash, 11 were sent without notes and none with them (TestFatalRequest).
+type noteSyncer struct {
+	box   *Box
+	notes Notes
+	// written is the number of crashes in each note, by name, as far as this box knows.
+	written map[string]int
+	// read is set once the notes were read in the current era, at readMs.
+	read     bool
+	era      int64
+	readMs   clock.Millis
+	failures int
+}
+
+// syncNotes synchronises the notes with the store until the context ends.
+func (b *Box) syncNotes(ctx context.Context) {
+	n := &noteSyncer{box: b, notes: b.source.Notes, written: map[string]int{}}
+	if n.notes.Keep == nil {
+		return
+	}
+	for ctx.Err() == nil {
+		// The loop condition handles the end of the context.
+		_ = b.clock.Sleep(ctx, n.syncOnce(ctx))
+	}
+}
+
+// syncOnce reads and writes the notes that are due, and returns how long to wait until the next call.
+func (n *noteSyncer) syncOnce(ctx context.Context) clock.Millis {
+	err := n.readIfDue(ctx)
+	if err == nil {
+		err = n.writeIfDue(ctx)
+	}
+	if err == nil {
+		n.failures = 0
+		return noteSyncIntervalMs
+	}
+	if n.failures == 0 && ctx.Err() == nil {
+		n.box.Ignored("notes in the store", err)
+	}
+	wait := min(minNotesRetryMs<<min(n.failures, maxDoublings), maxNotesRetryMs)
+	n.failures++
+	return wait
+}
+
+// maxDoublings keeps the backoff from overflowing.
+const maxDoublings = 8
+
+func (n *noteSyncer) readIfDue(ctx context.Context) error {
+	now := n.box.clock.Steady()
+	if n.read && n.notes.Era() != n.era {
+		// Notes written after the store's snapshot was taken are written again.
+		n.read = false
+		clear(n.written)
+	}
+	reread := n.readerMissesPeer() && now-n.readMs >= noteRereadIntervalMs
+	if n.read && !reread {
+		return nil
+	}
+	all, era, err := n.notes.All(ctx)
+	if err != nil {
+		return err
+	}
+	n.read, n.readMs, n.era = true, now, era
+	for name, data := range all {
+		n.applyNote(name, data)
+	}
+	return nil
+}
+
+// readerMissesPeer reports whether this box reads the store for others and a known box is unreachable.
+func (n *noteSyncer) readerMissesPeer() bool {
+	return n.box.peering.mesh.IsSource() && n.box.peering.mesh.Missing()
+}
+
+// applyNote adds the crashes of a note to the quarantine.
+func (n *noteSyncer) applyNote(name string, data []byte) {
+	var note suspectNote
+	if err := json.Unmarshal(data, &note); err != nil {
+		n.box.Ignored("note "+name+" in the store", err)
+		return
+	}
+	n.written[name] = len(note.Upstreams)
+	n.box.crashes.learnFrom("store", note.crashes(n.box.clock.Now()))
+}
+
+// noteName returns the name of this failure domain's note on a suspect. The failure domain is part of it because
+// boxes on two sides of a partition must not overwrite each other's notes.
+func (n *noteSyncer) noteName(s quarantine.Suspect) string {
+	return fmt.Sprintf("%v-%08x", s.Fingerprint, uint32(namekey.Of(n.box.Settings().FailureDomain)))
+}
+
+// writeIfDue writes missing and outdated notes, and deletes the notes of fingerprints that are no longer suspects.
+// It deletes the notes of all failure domains, since some domains may no longer exist.
+func (n *noteSyncer) writeIfDue(ctx context.Context) error {
+	if !n.box.peering.mesh.IsSource() {
+		return nil
+	}
+	ledger := n.box.quarantine
+	for _, s := range n.fingerprintsToNote() {
+		if err := n.write(ctx, s); err != nil {
+			return err
+		}
+	}
+	known := map[string]bool{}
+	for _, s := range ledger.Suspects(1) {
+		known[s.Fingerprint.String()] = true
+	}
+	for name := range maps.Clone(n.written) {
+		if fingerprint := name[:min(len(name), fingerprintDigits)]; known[fingerprint] {
+			continue
+		}
+		if err := n.notes.Keep(ctx, name, nil); err != nil {
+			return err
+		}
+		delete(n.written, name)
+	}
+	return nil
+}
+
+// fingerprintDigits is the length of the fingerprint at the start of a note's name.
+const fingerprintDigits = 16
+
+// fingerprintsToNote returns the fingerprints that should be noted: the quarantined ones and, while a known box is
+// unreachable, those that are about to be quarantined.
+func (n *noteSyncer) fingerprintsToNote() []quarantine.Suspect {
+	if n.readerMissesPeer() {
+		return n.box.quarantine.Suspects(min(minNotedCrashes, max(1, n.box.quarantine.Settings().Ends)))
+	}
+	return n.box.quarantine.Held()
+}
+
+func (n *noteSyncer) write(ctx context.Context, s quarantine.Suspect) error {
+	name := n.noteName(s)
+	if n.written[name] >= min(len(s.Upstreams), n.box.quarantine.Settings().Ends) {
+		return nil
+	}
+	// A suspectNote consists of numbers, which always encode.
+	data, _ := json.Marshal(suspectNote{
+		Fingerprint: s.Fingerprint, Upstreams: s.Upstreams, EndedMs: n.box.clock.Now() - s.AgeMs,
+	})
+	if err := n.notes.Keep(ctx, name, data); err != nil {
+		return err
+	}
+	n.written[name] = len(s.Upstreams)
+	return nil
+}
--- /dev/null
+++ b/internal/gateway/pause_detector.go
@@ -0,0 +1,102 @@
+package gateway
+
+import (
+	"context"
+	"sync/atomic"
+
+	"dooryard.example/dooryard/internal/clock"
+	"dooryard.example/dooryard/internal/opaque"
+)
+
+const (
+	// pauseThresholdMs is the length of a pause of the process after which its state may be stale. It is longer than
+	// the scheduling delays of a busy machine and short compared to the operators' bounds.
+	pauseThresholdMs clock.Millis = 500
+	// maxRefreshWaitMs is how long requests wait after a pause for the box to refresh its state, if the last
+	// confirmation is too old. It covers a few gossip rounds and a read of the store, with a margin. If no refresh
+	// succeeds, requests are processed as they are while the store is unavailable. Meanwhile the box asks its peers
+	// every 50 ms instead of once per round: with all boxes stopped for 2.5 s the worst windows reached 0.54 of their
+	// maximum score, compared to 0.23 with one query per round (one paired run).
+	maxRefreshWaitMs clock.Millis = 400
+	// refreshPollMs is how often a waiting request checks for the refresh.
+	refreshPollMs clock.Millis = 20
+)
+
+// pauseDetector detects that this process did not run for some time, because its machine was suspended or the process
+// was stopped. Without it a box acts on stale state right after a pause: it sends requests to upstreams that have left,
+// with revoked keys, or after their deadlines (TestSuspended).
+type pauseDetector struct {
+	box *Box
+	// lastCheckMs is the time of the last check, resumedMs the time at which the newest pause was detected.
+	lastCheckMs, resumedMs atomic.Int64
+}
+
+func newPauseDetector(b *Box) *pauseDetector {
+	p := &pauseDetector{box: b}
+	p.lastCheckMs.Store(int64(b.clock.Steady()))
+	return p
+}
+
+// check detects a pause since the last check and corrects everything that measures time: overdue timers fire, and the
+// silence of other boxes during the pause is not counted against them. Shorter delays are not corrected: on a machine
+// that is slow all the time, boxes that have left would otherwise never expire (TestSlowBox).
+func (p *pauseDetector) check() {
+	now := p.box.clock.Steady()
+	pause := now - clock.Millis(p.lastCheckMs.Swap(int64(now)))
+	if pause <= pauseThresholdMs {
+		return
+	}
+	p.resumedMs.Store(int64(now))
+	p.box.peering.mesh.Resumed(pause)
+	p.box.clock.Resumed()
+}
+
+// awaitRefresh waits after a pause until the box has refreshed its state, for at most maxRefreshWaitMs.
+func (p *pauseDetector) awaitRefresh(ctx context.Context) {
+	if p.box.clock.Steady()-clock.Millis(p.lastCheckMs.Load()) > pauseThresholdMs {
+		p.check()
+	}
+	for p.needsRefresh() && ctx.Err() == nil {
+		// The loop condition handles the end of the context.
+		_ = p.box.clock.Sleep(ctx, refreshPollMs)
+	}
+}
+
+// needsRefresh reports whether the box resumed a short time ago with a confirmation that is too old, and has not
+// refreshed its state since.
+func (p *pauseDetector) needsRefresh() bool {
+	resumedMs := clock.Millis(p.resumedMs.Load())
+	if resumedMs == 0 || p.box.clock.Steady()-resumedMs >= maxRefreshWaitMs {
+		return false
+	}
+	return p.box.routingState.AgeMs() > p.box.peering.directReadAgeMs() && !p.box.refreshedSince(resumedMs)
+}
+
+// pingIfStale asks the other boxes immediately while the box needs a refresh.
+func (p *pauseDetector) pingIfStale() {
+	if p.needsRefresh() {
+		p.box.peering.mesh.Ping()
+	}
+}
+
+// refreshedSince reports whether the routing state was confirmed since an instant and, on a box that reads the store
+// for others, whether the store was read since then.
+func (b *Box) refreshedSince(atMs clock.Millis) bool {
+	if b.routingState.ConfirmedMs() < atMs {
+		return false
+	}
+	return !b.peering.mesh.IsSource() || b.sink.readSince(atMs)
+}
+
+// checkBeforeSend decides, right before a request is sent, whether it may still be sent. The process may have been
+// paused since the request was admitted, and the caller may have disconnected.
+func (b *Box) checkBeforeSend(r *opaque.Request) error {
+	b.pauseDetector.awaitRefresh(r.Context())
+	if err := r.Context().Err(); err != nil {
+		return opaque.NewRefusal(opaque.StatusCallerGone, opaque.CallerGone, 0, err)
+	}
+	if r.RemainingMs(b.clock.Steady()) <= 0 {
+		return opaque.NewRefusal(opaque.NotRunStatus, opaque.TimeOver, 0, nil)
+	}
+	return b.steps.authorise.Vouch(r)
+}
