--- a/internal/limit/fair.go
+++ b/internal/limit/fair.go
@@ -1,71 +1,71 @@
-// Package limit decides who waits: fair queueing among organisations in front
-// of the pools, and the organisations' own limits.
+// Package limit schedules and limits requests: fair queueing among organisations in front of each
+// pool, and the rate and concurrency limits of each organisation.
 package limit
 
 import "slices"
 
-// Flow is an organisation in a fair queue.
+// Flow is one organisation's flow in a fair queue.
 type Flow struct {
 	Name string
-	// Weight is the organisation's share among those that wait.
+	// Weight is the organisation's relative share among the waiting organisations.
 	Weight int
-	// Priority decides between organisations whose turns are equal.
+	// Priority breaks ties between organisations with equal start tags; the higher priority is served
+	// first.
 	Priority int
 }
 
 const (
-	// costUnit is the virtual time that one request of weight 1 takes.
+	// costUnit is the virtual time that one request of weight 1 consumes.
 	costUnit = 1 << 20
-	// creditRequests is how many requests an organisation that used less than
-	// its share may send in a burst before it waits for others again.
+	// creditRequests is how many requests an organisation that used less than its share may send in a
+	// burst before it has to wait for others again.
 	creditRequests = 16
-	// maxIdleFlows bounds the organisations that are remembered while none of
-	// their requests wait.
+	// maxIdleFlows is the number of remembered organisations at which idle ones are evicted.
 	maxIdleFlows = 4096
 )
 
-// fairQueue is start-time fair queueing: an organisation's next request has a
-// start tag, after the finish of its last one and no earlier than the virtual
-// time less a credit, and the smallest start tag is served first. An
-// organisation that sends more than its share only moves its own tag further
-// out.
+// fairQueue implements start-time fair queueing. The start tag of an organisation's next request is
+// the finish tag of its previous one, but at least the current virtual time minus a credit. The
+// request with the smallest start tag is served first, so an organisation that exceeds its share
+// only delays its own requests.
 type fairQueue struct {
-	virtual uint64
-	flows   map[string]*flowQueue
-	length  int
+	virtualTime uint64
+	flows       map[string]*flowQueue
+	length      int
 }
 
-// flowQueue is one organisation's waiting requests, first come first.
+// flowQueue holds the waiting requests of one organisation in FIFO order.
 type flowQueue struct {
 	flow    Flow
 	waiting []*waiter
-	// start is the tag of the first waiting request.
-	start uint64
-	// finish is the tag at which the last served request ended.
-	finish uint64
+	// startTag is the start tag of the first waiting request.
+	startTag uint64
+	// finishTag is the finish tag of the last served request.
+	finishTag uint64
 }
 
-// waiter is one waiting request.
+// waiter is one waiting request. Its channel is closed on admission.
 type waiter struct {
 	flow     Flow
 	admitted chan struct{}
 }
 
 func newFairQueue() *fairQueue {
-	// Virtual time starts above the largest credit, so that it never runs below 0.
-	return &fairQueue{virtual: creditRequests * costUnit, flows: map[string]*flowQueue{}}
+	// The initial virtual time equals the largest credit, so that subtracting a credit can't
+	// underflow.
+	return &fairQueue{virtualTime: creditRequests * costUnit, flows: map[string]*flowQueue{}}
 }
 
-// waitingOf returns how many requests of an organisation wait.
-func (q *fairQueue) waitingOf(name string) int {
+// waitingCount returns the number of waiting requests of an organisation.
+func (q *fairQueue) waitingCount(name string) int {
 	if f := q.flows[name]; f != nil {
 		return len(f.waiting)
 	}
 	return 0
 }
 
-// waitingFlows returns how many organisations wait.
-func (q *fairQueue) waitingFlows() int {
+// backloggedFlows returns the number of organisations with waiting requests.
+func (q *fairQueue) backloggedFlows() int {
 	count := 0
 	for _, f := range q.flows {
 		if len(f.waiting) > 0 {
@@ -78,7 +78,7 @@
 func (q *fairQueue) flow(flow Flow) *flowQueue {
 	f := q.flows[flow.Name]
 	if f == nil {
-		q.forgetIdle()
+		q.evictIdle()
 		f = &flowQueue{}
 		q.flows[flow.Name] = f
 	}
@@ -86,13 +86,14 @@
 	return f
 }
 
-// forgetIdle drops organisations whose tags no longer hold them back.
-func (q *fairQueue) forgetIdle() {
+// evictIdle removes the organisations without waiting requests whose finish tag the virtual time
+// has reached. It does nothing while fewer than maxIdleFlows are remembered.
+func (q *fairQueue) evictIdle() {
 	if len(q.flows) < maxIdleFlows {
 		return
 	}
 	for name, f := range q.flows {
-		if len(f.waiting) == 0 && f.finish <= q.virtual {
+		if len(f.waiting) == 0 && f.finishTag <= q.virtualTime {
 			delete(q.flows, name)
 		}
 	}
@@ -100,35 +101,35 @@
 
 func (f *flowQueue) cost() uint64 { return costUnit / uint64(max(1, f.flow.Weight)) }
 
-func (q *fairQueue) startOf(f *flowQueue) uint64 {
-	return max(q.virtual-creditRequests*f.cost(), f.finish)
+func (q *fairQueue) nextStartTag(f *flowQueue) uint64 {
+	return max(q.virtualTime-creditRequests*f.cost(), f.finishTag)
 }
 
-// serve moves the virtual time to a request that is served.
+// serve advances the virtual time to the start tag of a request that is being served.
 func (q *fairQueue) serve(f *flowQueue, start uint64) {
-	q.virtual = max(q.virtual, start)
-	f.finish = start + f.cost()
-	f.start = f.finish
+	q.virtualTime = max(q.virtualTime, start)
+	f.finishTag = start + f.cost()
+	f.startTag = f.finishTag
 }
 
-// pass counts a request that is served without waiting, because nobody waits.
-func (q *fairQueue) pass(flow Flow) {
+// serveImmediately records a request that is served without waiting because the queue is empty.
+func (q *fairQueue) serveImmediately(flow Flow) {
 	f := q.flow(flow)
-	q.serve(f, q.startOf(f))
+	q.serve(f, q.nextStartTag(f))
 }
 
 // push queues a request.
 func (q *fairQueue) push(w *waiter) {
 	f := q.flow(w.flow)
 	if len(f.waiting) == 0 {
-		f.start = q.startOf(f)
+		f.startTag = q.nextStartTag(f)
 	}
 	f.waiting = append(f.waiting, w)
 	q.length++
 }
 
-// pop takes the request that is served next among the organisations that may
-// run, or nil.
+// pop removes and returns the next request among the organisations for which mayRun is true. It
+// returns nil if there is none.
 func (q *fairQueue) pop(mayRun func(flow Flow) bool) *waiter {
 	var best *flowQueue
 	for _, f := range q.flows {
@@ -142,14 +143,14 @@
 	w := best.waiting[0]
 	best.waiting = best.waiting[1:]
 	q.length--
-	q.serve(best, best.start)
+	q.serve(best, best.startTag)
 	return w
 }
 
-// before tells which organisation's turn is first.
+// before reports whether the flow is served before the other one.
 func (f *flowQueue) before(other *flowQueue) bool {
-	if f.start != other.start {
-		return f.start < other.start
+	if f.startTag != other.startTag {
+		return f.startTag < other.startTag
 	}
 	if f.flow.Priority != other.flow.Priority {
 		return f.flow.Priority > other.flow.Priority
@@ -157,18 +158,18 @@
 	return f.flow.Name < other.flow.Name
 }
 
-// remove takes a request out that no longer waits. It returns false when the
-// request was served before.
+// remove removes a request that stopped waiting. It returns false if the request is no longer
+// queued, because it was already served.
 func (q *fairQueue) remove(w *waiter) bool {
 	f := q.flows[w.flow.Name]
 	if f == nil {
 		return false
 	}
-	at := slices.Index(f.waiting, w)
-	if at < 0 {
+	index := slices.Index(f.waiting, w)
+	if index < 0 {
 		return false
 	}
-	f.waiting = slices.Delete(f.waiting, at, at+1)
+	f.waiting = slices.Delete(f.waiting, index, index+1)
 	q.length--
 	return true
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -31,7 +31,7 @@
 
 const farDeadline = clock.Millis(1 << 50)
 
-func anyone(Flow) bool { return true }
+func anyFlow(Flow) bool { return true }
 
 func TestFairQueue(t *testing.T) {
 	t.Run("serves organisations by weight", func(t *testing.T) {
@@ -42,38 +42,38 @@
 		}
 		served := map[string]int{}
 		for range 300 {
-			served[q.pop(anyone).flow.Name]++
+			served[q.pop(anyFlow).flow.Name]++
 		}
 		assert.InDelta(t, 200, served["large"], creditRequests)
 		assert.InDelta(t, 100, served["small"], creditRequests)
 	})
-	t.Run("serves one that asks seldom before one that floods", func(t *testing.T) {
+	t.Run("serves an organisation with few requests before one with many", func(t *testing.T) {
 		q := newFairQueue()
 		for range 1000 {
-			q.push(&waiter{flow: flow("flood")})
+			q.push(&waiter{flow: flow("busy")})
 		}
 		for range 100 {
-			q.pop(anyone)
+			q.pop(anyFlow)
 		}
-		q.push(&waiter{flow: flow("seldom")})
-		assert.Equal(t, "seldom", q.pop(anyone).flow.Name)
+		q.push(&waiter{flow: flow("quiet")})
+		assert.Equal(t, "quiet", q.pop(anyFlow).flow.Name)
 	})
-	t.Run("serves higher priority first among equals", func(t *testing.T) {
+	t.Run("serves the higher priority first at equal start tags", func(t *testing.T) {
 		q := newFairQueue()
 		q.push(&waiter{flow: Flow{Name: "a", Weight: 1, Priority: 1}})
 		q.push(&waiter{flow: Flow{Name: "b", Weight: 1, Priority: 9}})
-		assert.Equal(t, "b", q.pop(anyone).flow.Name)
+		assert.Equal(t, "b", q.pop(anyFlow).flow.Name)
 	})
 }
 
 func TestQueue(t *testing.T) {
-	t.Run("answers at once when it is full", func(t *testing.T) {
+	t.Run("refuses immediately when the queue is full", func(t *testing.T) {
 		s := settings()
 		s.MaxWaiting = 0
 		q := NewQueue(s, func() int { return 0 }, clock.New().Now)
 		assertRefused(t, q, farDeadline, ErrQueueFull)
 	})
-	t.Run("bounds one organisation's part", func(t *testing.T) {
+	t.Run("limits the waiting requests of one organisation", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			s := settings()
 			s.MaxWaitingPerFlow = 1
@@ -87,38 +87,38 @@
 			assert.ErrorIs(t, <-done, context.Canceled)
 		})
 	})
-	t.Run("gives up after the longest wait", func(t *testing.T) {
+	t.Run("refuses after the maximum wait", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			q := NewQueue(settings(), func() int { return 0 }, clock.New().Now)
-			began := clock.New().Now()
+			startedAt := clock.New().Now()
 			require.ErrorIs(t, enter(t.Context(), q, "a"), ErrWaitedTooLong)
-			assert.Equal(t, 60*clock.Second, clock.New().Now()-began)
+			assert.Equal(t, 60*clock.Second, clock.New().Now()-startedAt)
 			_, waiting := q.Lengths()
 			assert.Zero(t, waiting)
 		})
 	})
-	t.Run("refuses at once what can't be served before its deadline", func(t *testing.T) {
+	t.Run("refuses immediately when the deadline would expire in the queue", func(t *testing.T) {
 		now := clock.Millis(0)
 		q := NewQueue(settings(), func() int { return 1 }, func() clock.Millis { return now })
 		for range 10 {
-			turn, err := q.Enter(t.Context(), flow("a"), farDeadline)
+			permit, err := q.Enter(t.Context(), flow("a"), farDeadline)
 			require.NoError(t, err)
 			now += 500
-			turn.Leave()
+			permit.Leave()
 		}
 		require.NoError(t, enter(t.Context(), q, "a"))
 		_, err := q.Enter(t.Context(), flow("b"), now+100)
 		require.ErrorIs(t, err, ErrDeadline)
 		assert.Positive(t, q.ExpectedWaitMs(flow("b")))
 	})
-	t.Run("lets waiting ones in when room grows", func(t *testing.T) {
+	t.Run("admits waiting requests when the capacity grows", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			room := 0
-			q := NewQueue(settings(), func() int { return room }, clock.New().Now)
+			capacity := 0
+			q := NewQueue(settings(), func() int { return capacity }, clock.New().Now)
 			done := make(chan error)
 			go func() { done <- enter(t.Context(), q, "a") }()
 			synctest.Wait()
-			room = 1
+			capacity = 1
 			q.Poke()
 			require.NoError(t, <-done)
 		})
@@ -126,7 +126,7 @@
 }
 
 func TestDemandPart(t *testing.T) {
-	t.Run("adds up to one over boxes that hear each other", func(t *testing.T) {
+	t.Run("adds up to one over boxes that know each other's demand", func(t *testing.T) {
 		demands := []float64{90, 5, 5, 0, 0, 0, 0, 0, 0}
 		sum := 0.0
 		for _, own := range demands {
@@ -137,7 +137,7 @@
 	t.Run("follows demand to within a few percent", func(t *testing.T) {
 		assert.InDelta(t, 0.9, Demand{Own: 90, Others: 10, Boxes: 9, Heard: 8}.Part(), 0.03)
 	})
-	t.Run("is the even part when cut off", func(t *testing.T) {
+	t.Run("is the even share without contact to other boxes", func(t *testing.T) {
 		assert.InDelta(t, 1.0/9, Demand{Own: 90, Boxes: 9}.Part(), 1e-9)
 	})
 }
@@ -152,10 +152,10 @@
 			assert.InDelta(t, 100, sum, 1e-9)
 		}
 	})
-	t.Run("gives an idle box room for a burst", func(t *testing.T) {
+	t.Run("leaves an idle box slots for a burst", func(t *testing.T) {
 		assert.InDelta(t, 20, Slots{Own: 0, Others: 40, Boxes: 3, Heard: 2}.Part(100), 1e-9)
 	})
-	t.Run("is even when nobody is heard", func(t *testing.T) {
+	t.Run("is even when no other box's use is known", func(t *testing.T) {
 		assert.InDelta(t, 100.0/3, Slots{Boxes: 3}.Part(100), 1)
 	})
 }
@@ -166,23 +166,23 @@
 	limits := func() *Organisations {
 		return NewOrganisations(func(string) float64 { return share }, func() clock.Millis { return now })
 	}
-	t.Run("keep this box's part of a rate", func(t *testing.T) {
+	t.Run("enforce this box's share of a rate limit", func(t *testing.T) {
 		o := limits()
 		row := &table.Organisation{Name: "choir", RatePerS: 20}
-		taken := 0
+		accepted := 0
 		for range 100 {
 			for range 10 {
 				if _, err := o.Enter(row); err == nil {
-					taken++
+					accepted++
 				} else {
 					require.ErrorIs(t, err, ErrRate)
 				}
 			}
 			now += 100
 		}
-		assert.InDelta(t, 100, taken, 11)
+		assert.InDelta(t, 100, accepted, 11)
 	})
-	t.Run("tell when to come back", func(t *testing.T) {
+	t.Run("return the time to wait before a retry", func(t *testing.T) {
 		o := limits()
 		row := &table.Organisation{Name: "choir", RatePerS: 2}
 		_, err := o.Enter(row)
@@ -191,7 +191,7 @@
 		require.ErrorIs(t, err, ErrRate)
 		assert.InDelta(t, 1000, int64(wait), 2)
 	})
-	t.Run("keep this box's part of requests in flight", func(t *testing.T) {
+	t.Run("enforce this box's share of a limit on requests in flight", func(t *testing.T) {
 		o := limits()
 		row := &table.Organisation{Name: "choir", MaxInFlight: 4}
 		for range 2 {
--- a/internal/limit/organisation.go
+++ b/internal/limit/organisation.go
@@ -10,50 +10,49 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// Errors of an organisation's own limits.
+// Errors for requests that exceed an organisation's own limits.
 var (
 	ErrRate        = errors.New("organisation's rate limit")
 	ErrConcurrency = errors.New("organisation's limit of requests in flight")
 )
 
-// Share tells which part of a fleet-wide limit this box may use, 0 to 1.
+// Share returns the fraction, 0 to 1, of an organisation's fleet-wide limits that this box may use.
 type Share func(organisation string) float64
 
-// Organisations keeps the fleet-wide limits of organisations on one box, each
-// box within its share. It is safe for concurrent use.
+// Organisations enforces the fleet-wide limits of organisations on one box, which applies its share
+// of them. It is safe for concurrent use.
 type Organisations struct {
 	share Share
 	now   func() clock.Millis
 
-	mu    sync.Mutex
-	known map[string]*usage
+	mu     sync.Mutex
+	usages map[string]*usage
 }
 
-// usage is what one organisation uses on this box.
+// usage is one organisation's current usage on this box.
 type usage struct {
 	limiter  *rate.Limiter
 	inFlight int
-	// asked counts requests since the last call of Demand, refused ones too.
-	asked int
+	// requests counts the requests since the last call of Demand, including refused ones.
+	requests int
 }
 
-// NewOrganisations returns limits that nobody uses yet.
+// NewOrganisations returns limits with no recorded usage.
 func NewOrganisations(share Share, now func() clock.Millis) *Organisations {
-	return &Organisations{share: share, now: now, known: map[string]*usage{}}
+	return &Organisations{share: share, now: now, usages: map[string]*usage{}}
 }
 
-// Enter counts a request of an organisation in, or refuses it with ErrRate or
-// ErrConcurrency and the time after which it may be tried again. Leave must be
-// called once for each request that was let in.
+// Enter admits a request of an organisation, or refuses it with ErrRate or ErrConcurrency and the
+// time to wait before a retry. Leave must be called exactly once for each admitted request.
 func (o *Organisations) Enter(row *table.Organisation) (clock.Millis, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	u := o.usage(row.Name)
-	u.asked++
+	u.requests++
 	if wait, ok := o.takeToken(u, row); !ok {
 		return wait, ErrRate
 	}
-	if row.MaxInFlight > 0 && u.inFlight >= o.part(row.MaxInFlight, row.Name) {
+	if row.MaxInFlight > 0 && u.inFlight >= o.localLimit(row.MaxInFlight, row.Name) {
 		return concurrencyRetryMs, ErrConcurrency
 	}
 	u.inFlight++
@@ -62,15 +61,16 @@
 
 const concurrencyRetryMs = clock.Second
 
-// part is this box's part of a limit, at least 1 so that a small limit does not
-// lock an organisation out of a box.
-func (o *Organisations) part(limit int, name string) int {
+// localLimit returns this box's part of a limit. It is at least 1, because a small limit would
+// otherwise exclude an organisation from the box.
+func (o *Organisations) localLimit(limit int, name string) int {
 	return max(1, int(float64(limit)*o.share(name)+half))
 }
 
 const half = 0.5
 
-// takeToken takes one token of the rate limit. The bucket holds one second.
+// takeToken takes one token from the organisation's token bucket, which holds the tokens of one
+// second. Without a token it returns how long to wait for one.
 func (o *Organisations) takeToken(u *usage, row *table.Organisation) (clock.Millis, bool) {
 	if row.RatePerS == 0 {
 		u.limiter = nil
@@ -94,36 +94,36 @@
 }
 
 func (o *Organisations) usage(name string) *usage {
-	u := o.known[name]
+	u := o.usages[name]
 	if u == nil {
 		u = &usage{}
-		o.known[name] = u
+		o.usages[name] = u
 	}
 	return u
 }
 
-// Leave counts a request out.
+// Leave records that an admitted request has ended.
 func (o *Organisations) Leave(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if u := o.known[name]; u != nil && u.inFlight > 0 {
+	if u := o.usages[name]; u != nil && u.inFlight > 0 {
 		u.inFlight--
 	}
 }
 
-// Demand returns how many requests each organisation sent since the last call,
-// refused ones too, and forgets organisations that sent none and run none.
+// Demand returns how many requests each organisation sent since the last call, including refused
+// ones. It drops organisations that sent no requests and have none in flight.
 func (o *Organisations) Demand() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	demand := map[string]int{}
-	for name, u := range o.known {
-		if u.asked > 0 {
-			demand[name] = u.asked
+	for name, u := range o.usages {
+		if u.requests > 0 {
+			demand[name] = u.requests
 		} else if u.inFlight == 0 {
-			delete(o.known, name)
+			delete(o.usages, name)
 		}
-		u.asked = 0
+		u.requests = 0
 	}
 	return demand
 }
--- a/internal/limit/queue.go
+++ b/internal/limit/queue.go
@@ -9,26 +9,25 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Errors of a queue. None of the requests that get one has run.
+// Errors of Queue.Enter. A request that gets one of them has not run.
 var (
-	// ErrQueueFull means that the queue, or the organisation's part of it, is
-	// full.
+	// ErrQueueFull means that the queue, or the organisation's part of it, is full.
 	ErrQueueFull = errors.New("queue full")
-	// ErrWaitedTooLong means that the longest wait passed.
+	// ErrWaitedTooLong means that the request waited for the maximum time.
 	ErrWaitedTooLong = errors.New("waited too long")
-	// ErrDeadline means that the deadline would pass before the turn comes.
+	// ErrDeadline means that the deadline would expire before the request is admitted.
 	ErrDeadline = errors.New("deadline would pass in the queue")
 )
 
-// QueueSettings bound a queue.
+// QueueSettings are the limits of a queue.
 type QueueSettings struct {
 	MaxWaiting        int
 	MaxWaitingPerFlow int
 	MaxWaitMs         clock.Millis
 }
 
-// Queue admits requests to one pool: as many at once as the pool has room for,
-// the others wait their fair turn. It is safe for concurrent use.
+// Queue admits requests to one pool up to the pool's capacity and queues the others fairly. It is
+// safe for concurrent use.
 type Queue struct {
 	settings QueueSettings
 	capacity func() int
@@ -36,33 +35,36 @@
 
 	mu      sync.Mutex
 	running int
-	// flows counts the running requests of each organisation.
-	flows   map[string]*flowCount
-	waiting *fairQueue
-	served  servedRate
+	// flows holds the usage of each organisation with running requests.
+	flows       map[string]*flowUsage
+	waiting     *fairQueue
+	completions completionRate
 }
 
-// NewQueue returns a queue in front of a pool whose room the function tells.
+// NewQueue returns a queue in front of a pool. The capacity function returns how many requests may
+// run at once.
 func NewQueue(settings QueueSettings, capacity func() int, now func() clock.Millis) *Queue {
 	return &Queue{
-		settings: settings, capacity: capacity, now: now, flows: map[string]*flowCount{}, waiting: newFairQueue(),
+		settings: settings, capacity: capacity, now: now, flows: map[string]*flowUsage{}, waiting: newFairQueue(),
 	}
 }
 
-// flowCount is what one organisation runs.
-type flowCount struct {
+// flowUsage is the number of running requests and the weight of one organisation.
+type flowUsage struct {
 	running int
 	weight  int
 }
 
-// Turn is the right to run. Leave must be called once when the request has ended.
-type Turn struct {
+// Permit allows one admitted request to run. Leave must be called exactly once when the request has
+// ended.
+type Permit struct {
 	queue *Queue
 	flow  string
 }
 
-// Enter waits for the request's turn.
-func (q *Queue) Enter(ctx context.Context, flow Flow, deadline clock.Millis) (*Turn, error) {
+// Enter waits until the request is admitted. It fails with ErrQueueFull, ErrWaitedTooLong,
+// ErrDeadline or the cause of the context's end.
+func (q *Queue) Enter(ctx context.Context, flow Flow, deadline clock.Millis) (*Permit, error) {
 	w, err := q.enterOrQueue(flow, deadline)
 	if err != nil {
 		return nil, err
@@ -70,7 +72,7 @@
 	if err := q.await(ctx, w); err != nil {
 		return nil, err
 	}
-	return &Turn{queue: q, flow: flow.Name}, nil
+	return &Permit{queue: q, flow: flow.Name}, nil
 }
 
 func (q *Queue) await(ctx context.Context, w *waiter) error {
@@ -80,24 +82,24 @@
 	case <-w.admitted:
 		return nil
 	case <-ctx.Done():
-		return q.abandon(w, context.Cause(ctx))
+		return q.cancel(w, context.Cause(ctx))
 	}
 }
 
-// enterOrQueue admits the request at once or queues it.
+// enterOrQueue admits the request immediately or queues it.
 func (q *Queue) enterOrQueue(flow Flow, deadline clock.Millis) (*waiter, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	w := &waiter{flow: flow, admitted: make(chan struct{})}
 	if q.waiting.length == 0 && q.running < q.capacity() {
-		q.waiting.pass(flow)
-		q.begin(w)
+		q.waiting.serveImmediately(flow)
+		q.start(w)
 		return w, nil
 	}
 	if q.waiting.length >= q.settings.MaxWaiting {
 		return nil, ErrQueueFull
 	}
-	if q.waiting.waitingOf(flow.Name) >= q.settings.MaxWaitingPerFlow {
+	if q.waiting.waitingCount(flow.Name) >= q.settings.MaxWaitingPerFlow {
 		return nil, ErrQueueFull
 	}
 	if wait := q.expectedWait(flow); q.now()+wait > deadline {
@@ -108,13 +110,13 @@
 	return w, nil
 }
 
-// mayRun reports whether an organisation's next request may take a free slot. One
-// that surges leaves some free for the others, unless it runs less than its
-// share: however fair the order, a request of the others that finds all slots
-// taken would wait for one to end.
+// mayRun reports whether an organisation's next request may use a free slot. An organisation that
+// surges must leave some slots free for the others, unless it runs less than its fair share. Fair
+// ordering alone is not enough: with all slots in use, a request of another organisation would have
+// to wait for one to end.
 func (q *Queue) mayRun(flow Flow) bool {
 	capacity := q.capacity()
-	if q.waiting.waitingOf(flow.Name) <= surgeBacklog || q.runningOf(flow.Name) < q.share(flow, capacity) {
+	if q.waiting.waitingCount(flow.Name) <= surgeBacklog || q.runningOf(flow.Name) < q.fairShare(flow, capacity) {
 		return true
 	}
 	others := q.running - q.runningOf(flow.Name)
@@ -122,27 +124,26 @@
 }
 
 const (
-	// surgeBacklog is how many waiting requests make an organisation one that
-	// surges.
+	// surgeBacklog is the number of waiting requests above which an organisation counts as surging.
 	surgeBacklog = 8
-	// reserveFactor is how many standard deviations of the others' number in
-	// flight an organisation that surges keeps free.
+	// reserveFactor scales the number of slots that a surging organisation leaves free, in standard
+	// deviations of the others' requests in flight.
 	reserveFactor = 2.0
 )
 
 func (q *Queue) runningOf(name string) int {
-	if count := q.flows[name]; count != nil {
-		return count.running
+	if usage := q.flows[name]; usage != nil {
+		return usage.running
 	}
 	return 0
 }
 
-// share is an organisation's part of the slots by its weight among those that
-// run or wait.
-func (q *Queue) share(flow Flow, capacity int) int {
+// fairShare returns an organisation's share of the slots: its weight relative to the weights of all
+// organisations with running requests, including itself.
+func (q *Queue) fairShare(flow Flow, capacity int) int {
 	sum := 0
-	for _, count := range q.flows {
-		sum += count.weight
+	for _, usage := range q.flows {
+		sum += usage.weight
 	}
 	if q.flows[flow.Name] == nil {
 		sum += flow.Weight
@@ -150,21 +151,21 @@
 	return max(1, capacity*flow.Weight/max(1, sum))
 }
 
-func (q *Queue) begin(w *waiter) {
+func (q *Queue) start(w *waiter) {
 	q.running++
-	count := q.flows[w.flow.Name]
-	if count == nil {
-		count = &flowCount{}
-		q.flows[w.flow.Name] = count
+	usage := q.flows[w.flow.Name]
+	if usage == nil {
+		usage = &flowUsage{}
+		q.flows[w.flow.Name] = usage
 	}
-	count.running++
-	count.weight = w.flow.Weight
+	usage.running++
+	usage.weight = w.flow.Weight
 	close(w.admitted)
 }
 
-// abandon takes back a request that stopped waiting. One that was admitted at
-// the same moment keeps its turn.
-func (q *Queue) abandon(w *waiter, cause error) error {
+// cancel removes a request that stopped waiting. It returns nil if the request was admitted at the
+// same moment, which then keeps its permit.
+func (q *Queue) cancel(w *waiter, cause error) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.waiting.remove(w) {
@@ -173,22 +174,22 @@
 	return cause
 }
 
-// Leave ends a request that was admitted and lets the next ones in.
-func (t *Turn) Leave() {
-	q := t.queue
+// Leave records that an admitted request has ended and admits the next ones.
+func (p *Permit) Leave() {
+	q := p.queue
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.running--
-	count := q.flows[t.flow]
-	count.running--
-	if count.running == 0 {
-		delete(q.flows, t.flow)
+	usage := q.flows[p.flow]
+	usage.running--
+	if usage.running == 0 {
+		delete(q.flows, p.flow)
 	}
-	q.served.count(q.now())
+	q.completions.record(q.now())
 	q.admit()
 }
 
-// Poke lets requests in after the pool's room has grown.
+// Poke admits waiting requests after the pool's capacity has grown.
 func (q *Queue) Poke() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -201,39 +202,40 @@
 		if w == nil {
 			return
 		}
-		q.begin(w)
+		q.start(w)
 	}
 }
 
-// Lengths returns how many requests run and wait.
+// Lengths returns the numbers of running and waiting requests.
 func (q *Queue) Lengths() (running, waiting int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.running, q.waiting.length
 }
 
-// ExpectedWaitMs returns how long a request of the flow would wait now, for
-// telling callers when to come back.
+// ExpectedWaitMs returns how long a new request of the flow would have to wait. Callers receive it
+// as the time after which to retry.
 func (q *Queue) ExpectedWaitMs(flow Flow) clock.Millis {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.expectedWait(flow)
 }
 
-// expectedWait counts the flow's own waiting requests at its fair part of the
-// rate at which requests lately ended. It is 0 while that rate is not known.
+// expectedWait divides the number of requests that are served before a new one of the flow by the
+// recent completion rate. Each organisation with waiting requests gets an equal part of that rate.
+// The result is 0 while the rate is unknown.
 func (q *Queue) expectedWait(flow Flow) clock.Millis {
-	perSecond := q.served.perSecond(q.now())
+	perSecond := q.completions.perSecond(q.now())
 	if perSecond <= 0 {
 		return 0
 	}
-	ahead := (q.waiting.waitingOf(flow.Name) + 1) * max(1, q.waiting.waitingFlows())
+	ahead := (q.waiting.waitingCount(flow.Name) + 1) * max(1, q.waiting.backloggedFlows())
 	ahead = min(ahead, q.waiting.length+1)
 	return clock.Millis(float64(ahead) / perSecond * float64(clock.Second))
 }
 
-// servedRate estimates how many requests end a second, over whole windows.
-type servedRate struct {
+// completionRate estimates how many requests end per second, averaged over complete windows.
+type completionRate struct {
 	windowStart clock.Millis
 	current     int
 	rate        float64
@@ -241,12 +243,12 @@
 
 const rateWindowMs = 2 * clock.Second
 
-func (s *servedRate) count(now clock.Millis) {
+func (s *completionRate) record(now clock.Millis) {
 	s.roll(now)
 	s.current++
 }
 
-func (s *servedRate) roll(now clock.Millis) {
+func (s *completionRate) roll(now clock.Millis) {
 	age := now - s.windowStart
 	if age < rateWindowMs {
 		return
@@ -256,7 +258,7 @@
 	s.windowStart = now
 }
 
-func (s *servedRate) perSecond(now clock.Millis) float64 {
+func (s *completionRate) perSecond(now clock.Millis) float64 {
 	s.roll(now)
 	return s.rate
 }
--- a/internal/limit/split.go
+++ b/internal/limit/split.go
@@ -1,60 +1,59 @@
 package limit
 
-// demandPart is the part of a fleet-wide limit that follows demand; the rest is
-// split evenly, so that a box whose demand is not known yet has a little.
-const demandPart = 0.97
+// demandFraction is the fraction of a fleet-wide limit that is split by demand. The rest is split
+// evenly, so that a box whose demand is not known yet gets a small part.
+const demandFraction = 0.97
 
-// Demand is what is known of how much an organisation asks for.
+// Demand is the known demand of one organisation across the fleet.
 type Demand struct {
-	// Own is this box's.
+	// Own is the demand on this box.
 	Own float64
-	// Others is the sum of all other boxes', as they last told.
+	// Others is the sum of the last reported demand of all other boxes.
 	Others float64
-	// Boxes is the number of boxes in the fleet, this one included.
+	// Boxes is the number of boxes in the fleet, including this one.
 	Boxes int
-	// Heard is how many of the other boxes' demand is known.
+	// Heard is the number of other boxes whose demand is known.
 	Heard int
 }
 
-// Part returns which part of a fleet-wide limit a box may use, so that the parts
-// of boxes that know the same add up to one. A box takes its demand's part only
-// of the parts of those boxes that it hears from: cut off from all, it has its
-// even part, whatever its demand.
+// Part returns the fraction of a fleet-wide limit that this box may use. The fractions of boxes
+// with the same information add up to one. A box claims a part by demand only from the even shares
+// of the boxes whose demand it knows. Without contact to any other box it therefore gets its even
+// share, whatever its demand.
 func (d Demand) Part() float64 {
 	if d.Boxes <= 1 {
 		return 1
 	}
-	even := 1 / float64(d.Boxes)
-	known := float64(min(d.Heard, d.Boxes-1)+1) * even
+	evenShare := 1 / float64(d.Boxes)
+	knownShare := float64(min(d.Heard, d.Boxes-1)+1) * evenShare
 	if total := d.Own + d.Others; total > 0 {
-		return known * (demandPart*d.Own/total + (1-demandPart)/float64(d.Heard+1))
+		return knownShare * (demandFraction*d.Own/total + (1-demandFraction)/float64(d.Heard+1))
 	}
-	return even
+	return evenShare
 }
 
-// Slots is what is known of who uses the slots of engines.
+// Slots is the known use of engine slots across the boxes that share them.
 type Slots struct {
-	// Own is how many requests this box runs and keeps waiting.
+	// Own is the number of running and waiting requests on this box.
 	Own float64
-	// Others is the sum of the boxes that were heard from.
+	// Others is the sum over the other boxes whose use is known.
 	Others float64
-	// Boxes is how many boxes share the slots, this one included.
+	// Boxes is the number of boxes that share the slots, including this one.
 	Boxes int
-	// Heard is how many of the others were heard from.
+	// Heard is the number of other boxes whose use is known.
 	Heard int
 }
 
-// Part returns how many of the slots a box may use, so that the parts of boxes
-// that know the same add up to all. While there is room a box has what it uses
-// and an even part of the rest, so that a burst finds room at once; when there
-// is none each has a part by its demand. Boxes that were not heard from are
-// taken to use their even part.
+// Part returns how many of the slots this box may use. The parts of boxes with the same information
+// add up to all slots. While slots are free, a box gets what it uses plus an even part of the free
+// ones, so that a burst is admitted immediately. Otherwise each box gets a part in proportion to
+// its demand. Boxes whose use is unknown are assumed to use an even part.
 func (s Slots) Part(slots float64) float64 {
 	boxes := float64(max(1, s.Boxes))
-	unheard := float64(max(0, s.Boxes-1-s.Heard))
-	demand := s.Own + s.Others + unheard*slots/boxes
+	unknown := float64(max(0, s.Boxes-1-s.Heard))
+	demand := s.Own + s.Others + unknown*slots/boxes
 	if demand <= slots {
-		return s.Own + (slots-demand)/(boxes-unheard)
+		return s.Own + (slots-demand)/(boxes-unknown)
 	}
 	return slots * s.Own / demand
 }
--- a/internal/limit/surge_test.go
+++ b/internal/limit/surge_test.go
@@ -11,58 +11,58 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// surgeRun is a seeded run of a pool of 50 slots that ten organisations use to a
-// part, with or without one of them sending ten times as much.
-type surgeRun struct {
-	now     clock.Millis
-	random  *rand.Rand
-	queue   *Queue
-	waiting []sent
-	running []sent
-	waits   []clock.Millis
-	served  map[string]int
-	refused int
+// surgeSimulation is a seeded simulation of a pool of 50 slots shared by ten organisations.
+// Optionally one of them sends ten times its usual number of requests.
+type surgeSimulation struct {
+	now       clock.Millis
+	random    *rand.Rand
+	queue     *Queue
+	waiting   []simulatedRequest
+	running   []simulatedRequest
+	waitTimes []clock.Millis
+	served    map[string]int
+	refused   int
 }
 
-type sent struct {
-	name   string
-	at     clock.Millis
-	length clock.Millis
-	until  clock.Millis
-	waiter *waiter
+type simulatedRequest struct {
+	name       string
+	sentMs     clock.Millis
+	durationMs clock.Millis
+	endMs      clock.Millis
+	waiter     *waiter
 }
 
 const (
-	surgeSlots   = 50
-	surgeLength  = 600 * clock.Second
-	surgeName    = "organisation-0"
-	surgeFactor  = 10
-	meanRunMs    = 1000
-	tenOfThem    = 10
-	shortestMs   = 500
-	surgeWarmup  = 20 * clock.Second
-	maxSurgeLine = 200
+	surgeSlots          = 50
+	simulatedMs         = 600 * clock.Second
+	surgingOrganisation = "organisation-0"
+	surgeFactor         = 10
+	meanRunMs           = 1000
+	organisationCount   = 10
+	minRunMs            = 500
+	surgeWarmup         = 20 * clock.Second
+	maxWaitingPerFlow   = 200
 )
 
-func newSurgeRun() *surgeRun {
-	r := &surgeRun{random: rand.New(rand.NewPCG(7, 7)), served: map[string]int{}}
-	r.queue = NewQueue(QueueSettings{MaxWaiting: 1000, MaxWaitingPerFlow: maxSurgeLine, MaxWaitMs: 30 * clock.Second},
+func newSurgeSimulation() *surgeSimulation {
+	r := &surgeSimulation{random: rand.New(rand.NewPCG(7, 7)), served: map[string]int{}}
+	r.queue = NewQueue(QueueSettings{MaxWaiting: 1000, MaxWaitingPerFlow: maxWaitingPerFlow, MaxWaitMs: 30 * clock.Second},
 		func() int { return surgeSlots }, func() clock.Millis { return r.now })
 	return r
 }
 
-// run goes through the time in steps of a millisecond. Used is the part of the
-// slots that is in use without a surge.
-func (r *surgeRun) run(used float64, surge bool) {
-	perMs := used * surgeSlots / meanRunMs
-	for ; r.now < surgeLength; r.now++ {
-		r.finish()
-		r.begin()
+// run advances the simulation in steps of one millisecond. Utilisation is the fraction of the slots
+// in use without a surge.
+func (r *surgeSimulation) run(utilisation float64, surge bool) {
+	perMs := utilisation * surgeSlots / meanRunMs
+	for ; r.now < simulatedMs; r.now++ {
+		r.finishEnded()
+		r.startAdmitted()
 		if r.random.Float64() < perMs {
-			name := fmt.Sprint("organisation-", r.random.IntN(tenOfThem))
+			name := fmt.Sprint("organisation-", r.random.IntN(organisationCount))
 			r.send(name)
 			for range surgeFactor - 1 {
-				if surge && name == surgeName {
+				if surge && name == surgingOrganisation {
 					r.send(name)
 				}
 			}
@@ -70,64 +70,65 @@
 	}
 }
 
-func (r *surgeRun) send(name string) {
-	length := clock.Millis(shortestMs + r.random.IntN(meanRunMs))
+func (r *surgeSimulation) send(name string) {
+	durationMs := clock.Millis(minRunMs + r.random.IntN(meanRunMs))
 	w, err := r.queue.enterOrQueue(flow(name), farDeadline)
 	if err != nil {
 		r.refused++
 		return
 	}
-	r.waiting = append(r.waiting, sent{name: name, at: r.now, length: length, waiter: w})
-	r.begin()
+	r.waiting = append(r.waiting, simulatedRequest{name: name, sentMs: r.now, durationMs: durationMs, waiter: w})
+	r.startAdmitted()
 }
 
-func (r *surgeRun) begin() {
-	r.waiting = slices.DeleteFunc(r.waiting, func(s sent) bool {
+func (r *surgeSimulation) startAdmitted() {
+	r.waiting = slices.DeleteFunc(r.waiting, func(s simulatedRequest) bool {
 		select {
 		case <-s.waiter.admitted:
 		default:
 			return false
 		}
-		if s.name != surgeName && s.at > surgeWarmup {
-			r.waits = append(r.waits, r.now-s.at)
+		if s.name != surgingOrganisation && s.sentMs > surgeWarmup {
+			r.waitTimes = append(r.waitTimes, r.now-s.sentMs)
 		}
 		r.served[s.name]++
-		s.until = r.now + s.length
+		s.endMs = r.now + s.durationMs
 		r.running = append(r.running, s)
 		return true
 	})
 }
 
-func (r *surgeRun) finish() {
-	r.running = slices.DeleteFunc(r.running, func(s sent) bool {
-		if s.until > r.now {
+func (r *surgeSimulation) finishEnded() {
+	r.running = slices.DeleteFunc(r.running, func(s simulatedRequest) bool {
+		if s.endMs > r.now {
 			return false
 		}
-		(&Turn{queue: r.queue, flow: s.name}).Leave()
+		(&Permit{queue: r.queue, flow: s.name}).Leave()
 		return true
 	})
 }
 
-func (r *surgeRun) p99() clock.Millis {
-	slices.Sort(r.waits)
-	return r.waits[len(r.waits)*99/100]
+func (r *surgeSimulation) p99() clock.Millis {
+	slices.Sort(r.waitTimes)
+	return r.waitTimes[len(r.waitTimes)*99/100]
 }
 
-// slotTurnsMs is two turns of a slot: one of 50 slots of a second each is free
+// toleranceMs covers two completions: 50 slots that each run a request for one second free a slot
 // every 20 ms.
-const slotTurnsMs = 40
+const toleranceMs = 40
 
-// TestSurgeOfOneOrganisation bounds what the others feel of a surge.
+// TestSurgeOfOneOrganisation guards against a surge of one organisation delaying the requests of
+// the others.
 func TestSurgeOfOneOrganisation(t *testing.T) {
-	for _, used := range []float64{0.7, 0.8, 0.9} {
-		t.Run(fmt.Sprint(used, " of the slots in use"), func(t *testing.T) {
-			calm, surge := newSurgeRun(), newSurgeRun()
-			calm.run(used, false)
-			surge.run(used, true)
-			t.Logf("p99 wait of the others: %d ms without, %d ms with the surge; the surging one was served %d, refused %d",
-				calm.p99(), surge.p99(), surge.served[surgeName], surge.refused)
-			assert.LessOrEqual(t, surge.p99(), calm.p99()+calm.p99()/10+slotTurnsMs)
-			assert.Greater(t, surge.served[surgeName], calm.served[surgeName], "the surging one gets what is free")
+	for _, utilisation := range []float64{0.7, 0.8, 0.9} {
+		t.Run(fmt.Sprint(utilisation, " of the slots in use"), func(t *testing.T) {
+			baseline, surge := newSurgeSimulation(), newSurgeSimulation()
+			baseline.run(utilisation, false)
+			surge.run(utilisation, true)
+			t.Logf("p99 wait of the others: %d ms without, %d ms with the surge; surging organisation: %d served, %d refused",
+				baseline.p99(), surge.p99(), surge.served[surgingOrganisation], surge.refused)
+			assert.LessOrEqual(t, surge.p99(), baseline.p99()+baseline.p99()/10+toleranceMs)
+			assert.Greater(t, surge.served[surgingOrganisation], baseline.served[surgingOrganisation], "the surging organisation uses the free slots")
 		})
 	}
 }
