--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry bounds repeated attempts by a budget that first attempts fill.
+// Package retry limits retries by a budget that first attempts replenish.
 package retry
 
 import (
@@ -8,85 +8,87 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Budget allows retries as a part of first attempts, with a small reserve so
-// that a quiet box may retry at all. It is safe for concurrent use.
+// Budget limits retries to a percentage of first attempts, plus a small reserve so that a box with
+// little traffic can retry at all. It is safe for concurrent use.
 type Budget struct {
-	// part is what each first attempt adds, in percent of one retry.
-	part int
-	// reserve is how many retries the balance holds at most, beside the bank.
+	// percent is what each first attempt adds to the balance, in percent of one retry.
+	percent int
+	// reserve is the maximum balance in retries, without the burst allowance.
 	reserve int
-	// bank is what each first attempt of the last window adds to that, in percent of one
-	// retry.
-	bank     int
-	windowMs clock.Millis
-	steady   func() clock.Millis
+	// burstPercent is what each first attempt in the last window adds to the maximum balance, in
+	// percent of one retry.
+	burstPercent int
+	windowMs     clock.Millis
+	monotonicNow func() clock.Millis
 
 	mu      sync.Mutex
 	balance int
-	// recent is about how many first attempts came in the last window, at sinceMs.
-	recent  float64
-	sinceMs clock.Millis
+	// recent is an exponentially decayed count of the first attempts in the last window, as
+	// of updatedMs.
+	recent    float64
+	updatedMs clock.Millis
 }
 
 const (
-	oneRetry = 100
-	// reserve is how many retries the balance holds at most: a short burst may
-	// be repeated, a lasting one is held to the part.
+	retryCost = 100
+	// reserve is the default of a budget's reserve. It allows retries of a short burst of failures,
+	// while lasting failures are limited to the percentage of first attempts.
 	reserve = 20
 )
 
-// Option changes a Budget under construction.
+// Option configures a new Budget.
 type Option func(*Budget)
 
-// WithReserve sets how many retries the balance holds at most.
+// WithReserve sets the maximum balance in retries.
 func WithReserve(retries int) Option { return func(b *Budget) { b.reserve = retries } }
 
-// WithBank lets the balance hold a part of the first attempts of the last window beside the
-// reserve, in percent of one retry each: what fails together is retried together. Over a
-// window retries stay below the reserve and both parts of its first attempts.
-func WithBank(percent int, window clock.Millis, steady func() clock.Millis) Option {
-	return func(b *Budget) { b.bank, b.windowMs, b.steady = percent, window, steady }
+// WithBank raises the maximum balance above the reserve by a percentage of the first attempts in
+// the last window, so that requests that fail together can be retried together. Over one window,
+// retries stay below the reserve plus both percentages of its first attempts.
+func WithBank(percent int, window clock.Millis, monotonicNow func() clock.Millis) Option {
+	return func(b *Budget) { b.burstPercent, b.windowMs, b.monotonicNow = percent, window, monotonicNow }
 }
 
-// NewBudget returns a full budget that allows this part of first attempts.
-func NewBudget(partPercent int, options ...Option) *Budget {
-	b := &Budget{part: partPercent, reserve: reserve}
+// NewBudget returns a budget with a full balance that limits retries to a percentage of first
+// attempts.
+func NewBudget(attemptPercent int, options ...Option) *Budget {
+	b := &Budget{percent: attemptPercent, reserve: reserve}
 	for _, option := range options {
 		option(b)
 	}
-	b.balance = b.reserve * oneRetry
+	b.balance = b.reserve * retryCost
 	return b
 }
 
-// First counts a first attempt.
+// First records a first attempt, which adds to the balance.
 func (b *Budget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.countRecent()
-	b.balance = min(b.balance+b.part, b.most())
+	b.countAttempt()
+	b.balance = min(b.balance+b.percent, b.capacity())
 }
 
-// countRecent counts a first attempt of now among those of the last window.
-func (b *Budget) countRecent() {
+// countAttempt adds a first attempt to the decayed count of the last window.
+func (b *Budget) countAttempt() {
 	if b.windowMs <= 0 {
 		return
 	}
-	now := b.steady()
-	b.recent = b.recent*math.Exp(-float64(now-b.sinceMs)/float64(b.windowMs)) + 1
-	b.sinceMs = now
+	now := b.monotonicNow()
+	b.recent = b.recent*math.Exp(-float64(now-b.updatedMs)/float64(b.windowMs)) + 1
+	b.updatedMs = now
 }
 
-// most is how much the balance may hold.
-func (b *Budget) most() int { return b.reserve*oneRetry + int(b.recent*float64(b.bank)) }
+// capacity returns the maximum balance.
+func (b *Budget) capacity() int { return b.reserve*retryCost + int(b.recent*float64(b.burstPercent)) }
 
-// Take asks for one retry.
+// Take spends one retry from the balance. It returns false if the balance is too low.
 func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.balance < oneRetry {
+	if b.balance < retryCost {
 		return false
 	}
-	b.balance -= oneRetry
+	b.balance -= retryCost
 	return true
 }
 
@@ -94,5 +96,5 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reserve = retries
-	b.balance = min(b.balance, b.most())
+	b.balance = min(b.balance, b.capacity())
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestBudget(t *testing.T) {
-	t.Run("holds retries to a part of first attempts", func(t *testing.T) {
+	t.Run("limits retries to a percentage of first attempts", func(t *testing.T) {
 		b := NewBudget(20)
 		retries := 0
 		for range 10_000 {
@@ -20,20 +20,20 @@
 		}
 		assert.InDelta(t, 2000, retries, reserve+1)
 	})
-	t.Run("lets a quiet box retry", func(t *testing.T) {
+	t.Run("allows a retry on a box without traffic", func(t *testing.T) {
 		assert.True(t, NewBudget(1).Take())
 	})
 }
 
-// banked is a budget of 10 percent, with a bank of 6 percent of the first attempts of 10 s and
-// a reserve of 2, and its clock.
-func banked() (b *Budget, now *clock.Millis) {
+// newBurstBudget returns a budget of 10 percent with a reserve of 2 and a burst allowance of 6
+// percent of the first attempts of the last 10 s, and the budget's clock.
+func newBurstBudget() (b *Budget, now *clock.Millis) {
 	now = new(clock.Millis)
 	return NewBudget(10, WithReserve(2), WithBank(6, 10*clock.Second, func() clock.Millis { return *now })), now
 }
 
-// take takes all that there is.
-func take(b *Budget) int {
+// takeAll takes retries until the budget refuses and returns their number.
+func takeAll(b *Budget) int {
 	taken := 0
 	for b.Take() {
 		taken++
@@ -42,36 +42,36 @@
 }
 
 func TestBank(t *testing.T) {
-	// send sends ten first attempts a second for a span.
-	send := func(b *Budget, now *clock.Millis, span clock.Millis) {
-		for end := *now + span; *now < end; *now += 100 {
+	// send records ten first attempts per second for the duration.
+	send := func(b *Budget, now *clock.Millis, duration clock.Millis) {
+		for end := *now + duration; *now < end; *now += 100 {
 			b.First()
 		}
 	}
-	t.Run("a burst after a good time is retried: 8 of 11 requests, 2 without a bank", func(t *testing.T) {
-		b, now := banked()
+	t.Run("allows 8 of 11 retries in a burst after steady traffic, 2 without the allowance", func(t *testing.T) {
+		b, now := newBurstBudget()
 		send(b, now, 60*clock.Second)
-		assert.Equal(t, 8, take(b))
-		b, now = banked()
-		b.bank = 0
+		assert.Equal(t, 8, takeAll(b))
+		b, now = newBurstBudget()
+		b.burstPercent = 0
 		send(b, now, 60*clock.Second)
-		assert.Equal(t, 2, take(b))
+		assert.Equal(t, 2, takeAll(b))
 	})
-	t.Run("no window has more than the reserve and both parts", func(t *testing.T) {
-		b, now := banked()
+	t.Run("keeps each window within the reserve and both percentages", func(t *testing.T) {
+		b, now := newBurstBudget()
 		send(b, now, 60*clock.Second)
-		taken := take(b)
+		taken := takeAll(b)
 		for range 100 {
 			send(b, now, 100)
-			taken += take(b)
+			taken += takeAll(b)
 		}
 		assert.LessOrEqual(t, taken, 2+16*100/100)
 	})
-	t.Run("a burst after a quiet time is not", func(t *testing.T) {
-		b, now := banked()
+	t.Run("allows only the reserve in a burst after a quiet period", func(t *testing.T) {
+		b, now := newBurstBudget()
 		send(b, now, 60*clock.Second)
 		*now += 100 * clock.Second
 		b.First()
-		assert.LessOrEqual(t, take(b), 2)
+		assert.LessOrEqual(t, takeAll(b), 2)
 	})
 }
