--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,71 +1,71 @@
-// Package health decides when an upstream that fails is ejected from its pool
-// and for how long.
+// Package health implements outlier ejection: it decides when a failing upstream is ejected from
+// its pool and for how long.
 package health
 
 import "dooryard.example/dooryard/internal/clock"
 
-// failuresToEject is how many failures in a row eject an upstream.
-const failuresToEject = 3
+// consecutiveFailuresToEject is the number of consecutive failures that eject an upstream.
+const consecutiveFailuresToEject = 3
 
-// maxDoublings keeps the growing ejection time from overflowing.
+// maxDoublings keeps the exponential backoff of the ejection time from overflowing.
 const maxDoublings = 20
 
 // Limits are the settings of ejection.
 type Limits struct {
-	// BaseMs is the first ejection time; each further one doubles it.
+	// BaseMs is the duration of the first ejection. Each further ejection doubles it.
 	BaseMs clock.Millis
-	// MaxMs is the longest ejection time.
+	// MaxMs is the maximum duration of an ejection.
 	MaxMs clock.Millis
 }
 
-// Health is the record of one upstream's successes and failures as one box saw
-// them. It is immutable; the zero value is a healthy upstream.
+// Health is the record of one upstream's successes and failures as observed by one box. It is
+// immutable. The zero value is a healthy upstream.
 type Health struct {
-	failures  int
-	ejections int
-	untilMs   clock.Millis
+	consecutiveFailures int
+	ejections           int
+	ejectedUntilMs      clock.Millis
 }
 
-// Ejected reports whether the upstream is out of its pool at an instant.
-func (h Health) Ejected(now clock.Millis) bool { return now < h.untilMs }
+// Ejected reports whether the upstream is ejected from its pool at the given time.
+func (h Health) Ejected(now clock.Millis) bool { return now < h.ejectedUntilMs }
 
-// UntilMs returns the end of the newest ejection, or 0.
-func (h Health) UntilMs() clock.Millis { return h.untilMs }
+// UntilMs returns the end of the latest ejection, or 0 if there was none.
+func (h Health) UntilMs() clock.Millis { return h.ejectedUntilMs }
 
-// WithSuccess forgets the failures in a row. The next ejection starts from the
-// base again only when the upstream stayed well for the longest ejection time,
-// so that one that flaps is out for growing times.
+// WithSuccess returns the record after a success, which resets the consecutive failures. The
+// ejection time is reset to the base only if the upstream stayed healthy for the maximum ejection
+// time after its last ejection, so that a flapping upstream is ejected for increasingly long times.
 func (h Health) WithSuccess(now clock.Millis, limits Limits) Health {
-	h.failures = 0
-	if now >= h.untilMs+limits.MaxMs {
+	h.consecutiveFailures = 0
+	if now >= h.ejectedUntilMs+limits.MaxMs {
 		h.ejections = 0
 	}
 	return h
 }
 
-// WithUnreachable ejects an upstream to which no connection opens: there is no
-// need to try again to know.
+// WithUnreachable returns the record after a failure to connect, which ejects the upstream
+// immediately: further attempts would not add any information.
 func (h Health) WithUnreachable(now clock.Millis, limits Limits) Health {
 	if h.Ejected(now) {
 		return h
 	}
-	h.failures = failuresToEject - 1
+	h.consecutiveFailures = consecutiveFailuresToEject - 1
 	return h.WithFailure(now, limits)
 }
 
-// WithFailure counts a failure and ejects the upstream after a few in a row, or
-// at once when the first request after an ejection fails.
+// WithFailure returns the record after a failure. It ejects the upstream after several consecutive
+// failures, or on the first failure if a recent ejection has ended.
 func (h Health) WithFailure(now clock.Millis, limits Limits) Health {
 	if h.Ejected(now) {
 		return h
 	}
-	h.failures++
-	onProbation := h.ejections > 0 && now < h.untilMs+limits.MaxMs
-	if h.failures < failuresToEject && !onProbation {
+	h.consecutiveFailures++
+	recentlyEjected := h.ejections > 0 && now < h.ejectedUntilMs+limits.MaxMs
+	if h.consecutiveFailures < consecutiveFailuresToEject && !recentlyEjected {
 		return h
 	}
-	h.untilMs = now + min(limits.BaseMs<<min(h.ejections, maxDoublings), limits.MaxMs)
+	h.ejectedUntilMs = now + min(limits.BaseMs<<min(h.ejections, maxDoublings), limits.MaxMs)
 	h.ejections++
-	h.failures = 0
+	h.consecutiveFailures = 0
 	return h
 }
