--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -1,5 +1,5 @@
-// Package picker chooses the upstream of a request: by a policy that needs only
-// this box's view, or by asking the boxes that own the upstreams for a slot.
+// Package picker selects the upstream of a request, either by a policy that needs only this box's
+// view or by asking the boxes that own the upstreams for a slot.
 package picker
 
 import (
@@ -13,45 +13,45 @@
 	"dooryard.example/dooryard/internal/route"
 )
 
-// tellAgainMs is when a box tells an owner again what it runs there, well inside
-// the time for which owners believe it.
-const tellAgainMs = 20 * clock.Second
+// refreshIntervalMs is the interval at which a box repeats its count of requests in flight to an
+// owner. It is well below the time after which owners expire a count.
+const refreshIntervalMs = 20 * clock.Second
 
-// Picker picks upstreams by grants. It is safe for concurrent use.
+// Picker selects upstreams by slots that their owners grant. It is safe for concurrent use.
 type Picker struct {
 	pools *pool.Manager
 	agent *grant.Agent
 	owner func(box string) grant.Owner
 	now   func() clock.Millis
 
-	mu   sync.Mutex
-	told map[grant.Place]telling
+	mu      sync.Mutex
+	reports map[grant.Place]report
 }
 
-// telling is what an owner was told last.
-type telling struct {
-	owner string
-	atMs  clock.Millis
+// report describes the last count of requests in flight that was sent for a place.
+type report struct {
+	owner  string
+	sentMs clock.Millis
 }
 
-// New returns a picker. Owner returns how a box is reached by its name.
+// New returns a picker. The owner function returns the address of a box by its name.
 func New(
 	pools *pool.Manager, agent *grant.Agent, owner func(box string) grant.Owner, now func() clock.Millis,
 ) *Picker {
-	return &Picker{pools: pools, agent: agent, owner: owner, now: now, told: map[grant.Place]telling{}}
+	return &Picker{pools: pools, agent: agent, owner: owner, now: now, reports: map[grant.Place]report{}}
 }
 
-// Request is what a pick depends on.
+// Request is the input of a selection.
 type Request struct {
 	Pool string
 	Key  route.Key
-	// Fresh is set for a session that can't be warm anywhere.
+	// Fresh is set for a new session, whose prefix can't be cached on any upstream.
 	Fresh bool
 	Tried pool.Tried
 }
 
-// pick is one request's search in progress.
-type pick struct {
+// selection is the search of one request in progress.
+type selection struct {
 	p       *Picker
 	request Request
 	members map[grant.Place]pool.Member
@@ -59,56 +59,55 @@
 	first   pool.Member
 }
 
-// Acquire takes a lease on an upstream. It wraps route.ErrNoUpstream when none
-// takes new work.
+// Acquire takes a lease on an upstream. The error wraps route.ErrNoUpstream if no upstream accepts
+// new work, and route.ErrSaturated if the search ends without a candidate.
 func (p *Picker) Acquire(ctx context.Context, r Request) (*pool.Lease, error) {
 	ranking, err := p.pools.Rank(r.Pool, r.Key, r.Tried)
 	if err != nil {
 		return nil, err
 	}
-	k := &pick{p: p, request: r, members: map[grant.Place]pool.Member{}, first: ranking.First}
+	s := &selection{p: p, request: r, members: map[grant.Place]pool.Member{}, first: ranking.First}
 	open := make([]grant.Place, 0, len(ranking.Open))
-	k.members[ranking.First.Place] = ranking.First
+	s.members[ranking.First.Place] = ranking.First
 	for _, member := range ranking.Open {
-		k.members[member.Place] = member
+		s.members[member.Place] = member
 		open = append(open, member.Place)
 	}
-	k.search = grant.NewSearch(ranking.First.Place, open, r.Fresh)
-	return k.run(ctx)
+	s.search = grant.NewSearch(ranking.First.Place, open, r.Fresh)
+	return s.run(ctx)
 }
 
-func (k *pick) run(ctx context.Context) (*pool.Lease, error) {
+func (s *selection) run(ctx context.Context) (*pool.Lease, error) {
 	for {
-		question, more := k.search.Next()
+		question, more := s.search.Next()
 		if !more {
-			return k.force()
+			return s.forceLeastLoaded()
 		}
-		lease, reply := k.ask(ctx, question)
-		if k.search.Hear(question, reply) {
-			k.tellFirst(question.Place)
+		lease, reply := s.ask(ctx, question)
+		if s.search.Hear(question, reply) {
+			s.notifyFirstOwner(question.Place)
 			return lease, nil
 		}
 	}
 }
 
-// ask puts a question to a place's owner. The lease is nil unless the place is
-// granted. Where the owner gives no answer this box's own part of the bound
-// decides.
-func (k *pick) ask(ctx context.Context, q grant.Question) (*pool.Lease, grant.Reply) {
-	member := k.members[q.Place]
-	owner := k.p.owner(member.Owner)
-	asking := grant.Asking{Question: q, Session: k.session(), First: q.Place == k.first.Place}
+// ask sends a question to a place's owner. The lease is nil unless the slot is granted. If the
+// owner does not answer, this box's own part of the load bound decides.
+func (s *selection) ask(ctx context.Context, q grant.Question) (*pool.Lease, grant.Reply) {
+	member := s.members[q.Place]
+	owner := s.p.owner(member.Owner)
+	query := grant.Asking{Question: q, Session: s.session(), First: q.Place == s.first.Place}
 	if !q.Want {
-		// Without an answer the session is taken for one without a home.
-		reply, _ := k.p.agent.Ask(ctx, owner, asking)
+		// Without an answer, the session is treated as one without a cached prefix.
+		reply, _ := s.p.agent.Ask(ctx, owner, query)
 		return nil, reply
 	}
-	reserved, found := k.p.pools.Reserve(k.request.Pool, member.Name)
+	reserved, found := s.p.pools.Reserve(s.request.Pool, member.Name)
 	if !found {
 		return nil, grant.Reply{Over: 1}
 	}
-	asking.Held, asking.Total = reserved.Held, reserved.Total
-	reply, err := k.p.agent.Ask(ctx, owner, asking)
+	query.Held, query.Total = reserved.Held, reserved.Total
+	reply, err := s.p.agent.Ask(ctx, owner, query)
 	if err != nil {
 		reply = grant.Reply{Granted: reserved.WithinOwnBound, Over: 1}
 	}
@@ -116,77 +115,78 @@
 		reserved.Lease.Release(pool.Neutral)
 		return nil, reply
 	}
-	k.p.keepTold(member, reserved.Lease)
+	s.p.reportOnRelease(member, reserved.Lease)
 	return reserved.Lease, reply
 }
 
-func (k *pick) session() grant.Session { return grant.Session(k.request.Key) }
+func (s *selection) session() grant.Session { return grant.Session(s.request.Key) }
 
-// tellFirst lets the owner of the first choice know where the session went.
-func (k *pick) tellFirst(granted grant.Place) {
-	if k.search.News(granted) {
-		k.p.agent.News(k.p.owner(k.first.Owner), k.session(), granted)
+// notifyFirstOwner informs the owner of the first choice which place the session was sent to.
+func (s *selection) notifyFirstOwner(granted grant.Place) {
+	if s.search.News(granted) {
+		s.p.agent.News(s.p.owner(s.first.Owner), s.session(), granted)
 	}
 }
 
-// force takes the least loaded of those that were asked when all are above the
-// bound: refusing would lose a request that an engine can still queue.
-func (k *pick) force() (*pool.Lease, error) {
-	place, found := k.search.Least()
+// forceLeastLoaded takes the least loaded upstream that was asked when all are above the bound.
+// Refusing would reject a request that an engine can still queue.
+func (s *selection) forceLeastLoaded() (*pool.Lease, error) {
+	place, found := s.search.Least()
 	if !found {
-		return nil, fmt.Errorf("%w: %s", route.ErrSaturated, k.request.Pool)
+		return nil, fmt.Errorf("%w: %s", route.ErrSaturated, s.request.Pool)
 	}
-	member := k.members[place]
-	reserved, found := k.p.pools.Reserve(k.request.Pool, member.Name)
+	member := s.members[place]
+	reserved, found := s.p.pools.Reserve(s.request.Pool, member.Name)
 	if !found {
-		return nil, fmt.Errorf("%w: %s", route.ErrNoUpstream, k.request.Pool)
+		return nil, fmt.Errorf("%w: %s", route.ErrNoUpstream, s.request.Pool)
 	}
-	k.p.agent.Hold(k.p.owner(member.Owner), place, reserved.Held)
-	k.p.keepTold(member, reserved.Lease)
+	s.p.agent.Hold(s.p.owner(member.Owner), place, reserved.Held)
+	s.p.reportOnRelease(member, reserved.Lease)
 	return reserved.Lease, nil
 }
 
-// keepTold lets the place's owner hear of the lease's end.
-func (p *Picker) keepTold(member pool.Member, lease *pool.Lease) {
-	p.remember(member)
+// reportOnRelease records the count that the owner received for this lease, and sends the new count
+// to the place's owner when the lease is released.
+func (p *Picker) reportOnRelease(member pool.Member, lease *pool.Lease) {
+	p.recordReport(member)
 	lease.AfterRelease(func(held int) {
-		// The owner may have changed since.
+		// The owner may have changed since the lease was taken.
 		member.Owner = p.pools.Owner(member.Place)
-		p.remember(member)
+		p.recordReport(member)
 		p.agent.Hold(p.owner(member.Owner), member.Place, held)
 	})
 }
 
-func (p *Picker) remember(member pool.Member) {
+func (p *Picker) recordReport(member pool.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told[member.Place] = telling{owner: member.Owner, atMs: p.now()}
+	p.reports[member.Place] = report{owner: member.Owner, sentMs: p.now()}
 }
 
-// Refresh tells owners what this box runs on their places: new owners at once,
-// the others before they forget it. Call it each second and when the live boxes
-// change.
+// Refresh reports this box's requests in flight to the owners: to a new owner immediately, to the
+// others before they expire the previous report. Call it every second and after each change of the
+// live boxes.
 func (p *Picker) Refresh() {
 	now := p.now()
-	for _, use := range p.pools.InUse() {
+	for _, inUse := range p.pools.InUse() {
 		p.mu.Lock()
-		last := p.told[use.Member.Place]
+		last := p.reports[inUse.Member.Place]
 		p.mu.Unlock()
-		if last.owner == use.Member.Owner && now-last.atMs < tellAgainMs {
+		if last.owner == inUse.Member.Owner && now-last.sentMs < refreshIntervalMs {
 			continue
 		}
-		p.remember(use.Member)
-		p.agent.Hold(p.owner(use.Member.Owner), use.Member.Place, use.Held)
+		p.recordReport(inUse.Member)
+		p.agent.Hold(p.owner(inUse.Member.Owner), inUse.Member.Place, inUse.Held)
 	}
-	p.forgetOld(now)
+	p.evictOldReports(now)
 }
 
-func (p *Picker) forgetOld(now clock.Millis) {
+func (p *Picker) evictOldReports(now clock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for place, last := range p.told {
-		if now-last.atMs > 2*tellAgainMs {
-			delete(p.told, place)
+	for place, last := range p.reports {
+		if now-last.sentMs > 2*refreshIntervalMs {
+			delete(p.reports, place)
 		}
 	}
 }
