--- a/internal/grant/agent.go
+++ b/internal/grant/agent.go
@@ -11,17 +11,17 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// ErrNoAnswer means that an owner did not answer in time, or does not know the
-// place; the asking box decides by itself.
-var ErrNoAnswer = errors.New("owner gave no answer")
+// ErrNoAnswer means that an owner did not reply in time or does not know the place. The requesting
+// box then decides by itself.
+var ErrNoAnswer = errors.New("owner did not reply")
 
-// Times of asking, for boxes of one failure domain.
+// Timeouts of questions between boxes of one failure domain.
 const (
-	// resendMs is when a question is sent a second time.
+	// resendMs is the time after which a question is sent a second time.
 	resendMs clock.Millis = 12
-	// askTimeoutMs is when a question is given up.
+	// askTimeoutMs is the total time to wait for a reply.
 	askTimeoutMs clock.Millis = 30
-	// backoffMs is how long an owner that did not answer is not asked.
+	// backoffMs is how long no questions are sent to an owner that did not reply.
 	backoffMs = clock.Second
 )
 
@@ -29,12 +29,12 @@
 type Owner struct {
 	Name    string
 	Address string
-	// Self is set when it is this box.
+	// Self is set when the owner is this box.
 	Self bool
 }
 
-// Agent is a box's part in grants: it answers for the places that it owns and
-// asks the owners of others. It is safe for concurrent use.
+// Agent grants slots on the places that this box owns and requests slots from the owners of other
+// places. It is safe for concurrent use.
 type Agent struct {
 	box      Box
 	send     func(address string, body []byte)
@@ -46,12 +46,12 @@
 	ledger    *Ledger
 	directory *Directory
 	sequence  uint16
-	waiting   map[uint16]chan Reply
+	pending   map[uint16]chan Reply
 	backoff   map[string]clock.Millis
 }
 
-// NewAgent returns an agent. Send sends a body on the channel; standing tells
-// how a place stands in its pool.
+// NewAgent returns an agent. The send function sends a body on the channel. The standing function
+// returns the state of a place in its pool.
 func NewAgent(
 	box Box, send func(address string, body []byte), standing func(place Place) (Standing, bool),
 	c clock.Clock, logger *zap.Logger,
@@ -59,11 +59,11 @@
 	return &Agent{
 		box: box, send: send, standing: standing, clock: c, logger: logger,
 		ledger: NewLedger(DefaultSettings()), directory: NewDirectory(),
-		waiting: map[uint16]chan Reply{}, backoff: map[string]clock.Millis{},
+		pending: map[uint16]chan Reply{}, backoff: map[string]clock.Millis{},
 	}
 }
 
-// Asking is one question with what the asking box runs.
+// Asking is a question together with the requesting box's counts of requests in flight.
 type Asking struct {
 	Question
 	Session Session
@@ -73,16 +73,16 @@
 	Total int
 }
 
-// Ask puts a question to a place's owner.
+// Ask sends a question to a place's owner.
 func (a *Agent) Ask(ctx context.Context, owner Owner, q Asking) (Reply, error) {
 	message := askMessage{
 		Box: a.box, Place: q.Place, Session: q.Session, Flags: q.flags(),
 		Held: clamp(q.Held), Total: clamp(q.Total),
 	}
 	if owner.Self {
-		return usable(a.answer(message))
+		return checkKnown(a.decide(message))
 	}
-	if owner.Address == "" || a.backsOff(owner.Name) {
+	if owner.Address == "" || a.inBackoff(owner.Name) {
 		return Reply{}, ErrNoAnswer
 	}
 	return a.askRemote(ctx, owner, message)
@@ -103,15 +103,15 @@
 
 func clamp(count int) uint16 { return uint16(min(max(0, count), math.MaxUint16)) }
 
-// usable makes an error of the answer of an owner that does not know the place.
-func usable(r Reply) (Reply, error) {
+// checkKnown returns ErrNoAnswer for a reply of an owner that does not know the place.
+func checkKnown(r Reply) (Reply, error) {
 	if r.unknown {
 		return Reply{}, ErrNoAnswer
 	}
 	return r, nil
 }
 
-// encode returns the answer's datagram.
+// encode returns the body of the reply's datagram.
 func (r Reply) encode(sequence uint16) []byte {
 	if r.Hint != 0 {
 		return encodeMessage(kindHint, hintMessage{Sequence: sequence, Hint: r.Hint})
@@ -136,63 +136,63 @@
 	}
 }
 
-// askRemote sends the question, once more when no answer comes soon. A second
-// copy does no harm: counts are absolute.
+// askRemote sends the question, and sends it again if no reply arrives in time. The duplicate is
+// harmless because counts are absolute.
 func (a *Agent) askRemote(ctx context.Context, owner Owner, message askMessage) (Reply, error) {
-	answers := a.expect(&message)
-	defer a.unexpect(message.Sequence)
+	replies := a.addPending(&message)
+	defer a.removePending(message.Sequence)
 	body := encodeMessage(kindAsk, message)
 	for _, waitMs := range []clock.Millis{resendMs, askTimeoutMs - resendMs} {
 		a.send(owner.Address, body)
 		wait, cancel := context.WithTimeout(ctx, waitMs.Duration())
 		select {
-		case answer := <-answers:
+		case reply := <-replies:
 			cancel()
-			return usable(answer)
+			return checkKnown(reply)
 		case <-wait.Done():
 			cancel()
 		}
 	}
 	if ctx.Err() == nil {
-		a.backOff(owner.Name)
-		a.logger.Debug("owner gave no answer", zap.String("owner", owner.Name))
+		a.startBackoff(owner.Name)
+		a.logger.Debug("owner did not reply; backing off", zap.String("owner", owner.Name))
 	}
 	return Reply{}, ErrNoAnswer
 }
 
-func (a *Agent) expect(message *askMessage) <-chan Reply {
+func (a *Agent) addPending(message *askMessage) <-chan Reply {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sequence++
 	message.Sequence = a.sequence
-	answers := make(chan Reply, 1)
-	a.waiting[message.Sequence] = answers
-	return answers
+	replies := make(chan Reply, 1)
+	a.pending[message.Sequence] = replies
+	return replies
 }
 
-func (a *Agent) unexpect(sequence uint16) {
+func (a *Agent) removePending(sequence uint16) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.waiting, sequence)
+	delete(a.pending, sequence)
 }
 
-func (a *Agent) backsOff(owner string) bool {
+func (a *Agent) inBackoff(owner string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.clock.Now() < a.backoff[owner]
 }
 
-func (a *Agent) backOff(owner string) {
+func (a *Agent) startBackoff(owner string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.backoff[owner] = a.clock.Now() + backoffMs
 }
 
-// Hold tells a place's owner what this box runs there.
+// Hold reports the number of requests that this box has in flight on a place to the place's owner.
 func (a *Agent) Hold(owner Owner, place Place, held int) {
 	message := holdMessage{Box: a.box, Place: place, Held: clamp(held)}
 	if owner.Self {
-		a.hold(message)
+		a.applyHold(message)
 		return
 	}
 	if owner.Address != "" {
@@ -200,11 +200,11 @@
 	}
 }
 
-// News tells the owner of a session's first choice where the session went.
+// News informs the owner of a session's first choice of the place that the session was sent to.
 func (a *Agent) News(owner Owner, session Session, place Place) {
 	message := newsMessage{Session: session, Place: place}
 	if owner.Self {
-		a.news(message)
+		a.applyNews(message)
 		return
 	}
 	if owner.Address != "" {
@@ -212,21 +212,21 @@
 	}
 }
 
-// Forget frees what a box held that is gone.
+// Forget removes the counts of a box that has left.
 func (a *Agent) Forget(box Box) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ledger.Forget(box)
 }
 
-// Sessions returns how many sessions this box remembers the place of.
+// Sessions returns the number of entries in this box's session directory.
 func (a *Agent) Sessions() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.directory.Len()
 }
 
-// Receive takes in a message of the channel.
+// Receive handles a message of the channel.
 func (a *Agent) Receive(from string, body []byte) {
 	if err := a.receive(from, body); err != nil {
 		a.logger.Debug("message dropped", zap.String("from", from), zap.Error(err))
@@ -239,56 +239,56 @@
 	}
 	switch body[0] {
 	case kindAsk:
-		return handle(body, func(m askMessage) { a.send(from, a.answer(m).encode(m.Sequence)) })
+		return handle(body, func(m askMessage) { a.send(from, a.decide(m).encode(m.Sequence)) })
 	case kindReply:
 		return handle(body, func(m replyMessage) { a.deliver(m.Sequence, m.reply()) })
 	case kindHint:
 		return handle(body, func(m hintMessage) { a.deliver(m.Sequence, Reply{Hint: m.Hint}) })
 	case kindHold:
-		return handle(body, a.hold)
+		return handle(body, a.applyHold)
 	case kindNews:
-		return handle(body, a.news)
+		return handle(body, a.applyNews)
 	default:
 		return ErrMalformed
 	}
 }
 
-// handle decodes a message and hands it on.
-func handle[T any](body []byte, take func(T)) error {
+// handle decodes a message and applies the function to it.
+func handle[T any](body []byte, apply func(T)) error {
 	message, err := decodeMessage[T](body)
 	if err != nil {
 		return err
 	}
-	take(message)
+	apply(message)
 	return nil
 }
 
 func (a *Agent) deliver(sequence uint16, r Reply) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if answers := a.waiting[sequence]; answers != nil {
+	if replies := a.pending[sequence]; replies != nil {
 		select {
-		case answers <- r:
+		case replies <- r:
 		default:
-			// The second copy of an answer.
+			// A duplicate reply.
 		}
 	}
 }
 
-func (a *Agent) hold(m holdMessage) {
+func (a *Agent) applyHold(m holdMessage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ledger.Hold(m.Place, m.Box, int(m.Held), a.clock.Now())
 }
 
-func (a *Agent) news(m newsMessage) {
+func (a *Agent) applyNews(m newsMessage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.directory.Set(m.Session, m.Place)
 }
 
-// answer decides on a question as the place's owner.
-func (a *Agent) answer(m askMessage) Reply {
+// decide replies to a question as the place's owner.
+func (a *Agent) decide(m askMessage) Reply {
 	standing, known := a.standing(m.Place)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/grant/directory.go
+++ b/internal/grant/directory.go
@@ -1,47 +1,48 @@
 package grant
 
-// Session names a session on the wire, by a short hash. Two sessions that share
-// one cost warmth at the worst.
+// Session is the short hash of a session in messages. A collision of two sessions costs at most
+// cache hits.
 type Session uint32
 
-// generationSessions is how many sessions one generation of a directory holds.
-const generationSessions = 100_000
+// generationSize is the number of sessions in one generation of a directory.
+const generationSize = 100_000
 
-// Directory remembers where sessions are warm that are not warm at their first
-// choice, whose owner keeps it. It holds the newest in two generations and
-// belongs to one goroutine at a time. Losing it costs warmth, never a promise.
+// Directory records which upstream has the cached prefix of each session that was not sent to its
+// first choice. The owner of the first choice keeps the entry. The directory holds the most recent
+// sessions in two generations. It must not be used by several goroutines at a time. Losing it costs
+// cache hits but does not affect correctness.
 type Directory struct {
-	old, young map[Session]Place
+	previous, current map[Session]Place
 }
 
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
-	return &Directory{old: map[Session]Place{}, young: map[Session]Place{}}
+	return &Directory{previous: map[Session]Place{}, current: map[Session]Place{}}
 }
 
-// Find returns where a session was last.
+// Find returns the last recorded place of a session.
 func (d *Directory) Find(session Session) (Place, bool) {
-	if place, found := d.young[session]; found {
+	if place, found := d.current[session]; found {
 		return place, true
 	}
-	place, found := d.old[session]
+	place, found := d.previous[session]
 	return place, found
 }
 
-// Set remembers where a session is.
+// Set records the place of a session.
 func (d *Directory) Set(session Session, place Place) {
-	if len(d.young) >= generationSessions {
-		d.old = d.young
-		d.young = map[Session]Place{}
+	if len(d.current) >= generationSize {
+		d.previous = d.current
+		d.current = map[Session]Place{}
 	}
-	d.young[session] = place
+	d.current[session] = place
 }
 
-// Remove forgets a session, which is at its first choice again.
+// Remove deletes a session that is at its first choice again.
 func (d *Directory) Remove(session Session) {
-	delete(d.young, session)
-	delete(d.old, session)
+	delete(d.current, session)
+	delete(d.previous, session)
 }
 
-// Len returns how many sessions are remembered.
-func (d *Directory) Len() int { return len(d.young) + len(d.old) }
+// Len returns the number of entries. A session in both generations counts twice.
+func (d *Directory) Len() int { return len(d.current) + len(d.previous) }
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -12,62 +12,63 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// standing is one of ten equal upstreams that three boxes send to.
-func standing() Standing {
+// testStanding returns the standing of one of ten equal upstreams that receive requests from three
+// boxes.
+func testStanding() Standing {
 	return Standing{Pool: 1, Part: 0.1, Boxes: 3, BoundPercent: 125, Slots: 1000}
 }
 
 func TestLedger(t *testing.T) {
-	t.Run("grants up to the set multiple of the mean", func(t *testing.T) {
+	t.Run("grants up to the load bound", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
 		granted := 0
 		for held := 1; held <= 40; held++ {
-			if ok, _ := l.Ask(Ask{Place: 1, Box: 1, Held: held, Total: 100}, standing(), 0); ok {
+			if ok, _ := l.Ask(Ask{Place: 1, Box: 1, Held: held, Total: 100}, testStanding(), 0); ok {
 				granted++
 			}
 		}
-		// One box told a total of 100, so three run 300 and the mean is 30.
+		// One box reported a total of 100, so three boxes are assumed to have 300 in flight and the mean is 30.
 		assert.Equal(t, 37, granted)
 	})
-	t.Run("counts all boxes", func(t *testing.T) {
+	t.Run("counts the requests of all boxes", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
 		l.Hold(1, 2, 37, 0)
-		ok, over := l.Ask(Ask{Place: 1, Box: 1, Held: 1, Total: 100}, standing(), 0)
+		ok, over := l.Ask(Ask{Place: 1, Box: 1, Held: 1, Total: 100}, testStanding(), 0)
 		assert.False(t, ok)
 		assert.Equal(t, 1, over)
 	})
-	t.Run("makes good a lost release by the next message", func(t *testing.T) {
+	t.Run("corrects a lost release with the next report", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
 		l.Hold(1, 2, 30, 0)
 		l.Hold(1, 2, 5, 10)
 		assert.Equal(t, 5, l.InFlight(1))
 	})
-	t.Run("frees what a gone box held", func(t *testing.T) {
+	t.Run("removes the counts of a box that has left", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
 		l.Hold(1, 2, 30, 0)
 		l.Hold(1, 3, 2, 0)
 		l.Forget(2)
 		assert.Equal(t, 2, l.InFlight(1))
 	})
-	t.Run("forgets counts that were not told again", func(t *testing.T) {
+	t.Run("expires counts that were not repeated", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
 		l.Hold(1, 2, 37, 0)
-		ok, _ := l.Ask(Ask{Place: 1, Box: 1, Held: 1, Total: 100}, standing(), DefaultSettings().HoldMs+1)
+		ok, _ := l.Ask(Ask{Place: 1, Box: 1, Held: 1, Total: 100}, testStanding(), DefaultSettings().CountTTLMs+1)
 		assert.True(t, ok)
 	})
-	t.Run("settles a session only below the mean", func(t *testing.T) {
+	t.Run("accepts a new session only below the mean", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
 		l.Hold(1, 2, 32, 0)
 		ask := Ask{Place: 1, Box: 1, Held: 1, Total: 100, Settle: true}
-		ok, _ := l.Ask(ask, standing(), 0)
+		ok, _ := l.Ask(ask, testStanding(), 0)
 		assert.False(t, ok)
 		ask.Settle = false
-		ok, _ = l.Ask(ask, standing(), 0)
+		ok, _ = l.Ask(ask, testStanding(), 0)
 		assert.True(t, ok)
 	})
-	t.Run("keeps the slots", func(t *testing.T) {
+	t.Run("limits requests to the slots", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
-		s := standing()
+		s := testStanding()
 		s.Slots = 2
 		l.Hold(1, 2, 2, 0)
 		ok, _ := l.Ask(Ask{Place: 1, Box: 1, Held: 1, Total: 100}, s, 0)
@@ -75,9 +76,8 @@
 	})
 }
 
-// search runs a search against places that grant, hint or deny, and returns the
-// places asked.
-func search(s *Search, reply func(q Question) Reply) (asked []Place, granted bool) {
+// runSearch runs a search against places that grant, hint or deny, and returns the places asked.
+func runSearch(s *Search, reply func(q Question) Reply) (asked []Place, granted bool) {
 	for {
 		q, more := s.Next()
 		if !more {
@@ -92,102 +92,103 @@
 
 func TestSearch(t *testing.T) {
 	deny := func(Question) Reply { return Reply{Over: 1} }
-	t.Run("takes the first choice of a returning session", func(t *testing.T) {
-		asked, granted := search(NewSearch(1, []Place{1, 2, 3}, false), func(Question) Reply { return Reply{Granted: true} })
+	t.Run("selects the first choice of a known session", func(t *testing.T) {
+		asked, granted := runSearch(NewSearch(1, []Place{1, 2, 3}, false), func(Question) Reply { return Reply{Granted: true} })
 		assert.True(t, granted)
 		assert.Equal(t, []Place{1}, asked)
 	})
-	t.Run("goes where the session is warm", func(t *testing.T) {
+	t.Run("selects the place with the session's cached prefix", func(t *testing.T) {
 		s := NewSearch(1, []Place{1, 2, 3}, false)
-		asked, granted := search(s, func(q Question) Reply {
+		asked, granted := runSearch(s, func(q Question) Reply {
 			if q.Lookup {
 				return Reply{Hint: 3}
 			}
-			assert.False(t, q.Settle, "a warm place may be above the mean")
+			assert.False(t, q.Settle, "a place with the cached prefix may be above the mean")
 			return Reply{Granted: true}
 		})
 		assert.True(t, granted)
 		assert.Equal(t, []Place{1, 3}, asked)
-		assert.False(t, s.News(3), "its owner knows")
+		assert.False(t, s.News(3), "the owner gave the hint")
 	})
-	t.Run("asks the first choice's owner though it takes nothing", func(t *testing.T) {
+	t.Run("asks the owner of a first choice that does not accept new work", func(t *testing.T) {
 		s := NewSearch(1, []Place{2, 3}, false)
-		asked, _ := search(s, func(q Question) Reply {
+		asked, _ := runSearch(s, func(q Question) Reply {
 			assert.Equal(t, q.Want, q.Place != 1)
 			return Reply{Granted: q.Want}
 		})
 		assert.Equal(t, []Place{1, 2}, asked)
 		assert.True(t, s.News(2))
 	})
-	t.Run("ends when all deny, with the least loaded", func(t *testing.T) {
+	t.Run("ends when all places deny and returns the least loaded one", func(t *testing.T) {
 		s := NewSearch(1, []Place{1, 2, 3}, false)
-		asked, granted := search(s, func(q Question) Reply { return Reply{Over: 10 - int(q.Place)} })
+		asked, granted := runSearch(s, func(q Question) Reply { return Reply{Over: 10 - int(q.Place)} })
 		assert.False(t, granted)
 		assert.LessOrEqual(t, len(asked), MaxAsks)
 		least, found := s.Least()
 		assert.True(t, found)
 		assert.EqualValues(t, 3, least)
 	})
-	t.Run("has nobody left when all places are closed", func(t *testing.T) {
+	t.Run("returns no place when all places are closed", func(t *testing.T) {
 		s := NewSearch(1, []Place{1, 2}, false)
-		_, granted := search(s, func(Question) Reply { return Reply{Closed: true} })
+		_, granted := runSearch(s, func(Question) Reply { return Reply{Closed: true} })
 		assert.False(t, granted)
 		_, found := s.Least()
 		assert.False(t, found)
 	})
-	t.Run("ends for a new session too", func(t *testing.T) {
-		_, granted := search(NewSearch(1, []Place{1}, true), deny)
+	t.Run("ends for a new session when its only place denies", func(t *testing.T) {
+		_, granted := runSearch(NewSearch(1, []Place{1}, true), deny)
 		assert.False(t, granted)
 	})
 }
 
-// pair is two agents that hear each other unless lost.
-func pair(t *testing.T) (asker *Agent, owner Owner, lose *bool) {
+// newAgentPair returns an agent and an owner to which it can send messages. Setting lose drops the
+// agent's messages to the owner.
+func newAgentPair(t *testing.T) (requester *Agent, owner Owner, lose *bool) {
 	t.Helper()
 	lost := false
 	var other *Agent
-	known := func(Place) (Standing, bool) { return standing(), true }
-	asker = NewAgent(1, func(_ string, body []byte) {
+	known := func(Place) (Standing, bool) { return testStanding(), true }
+	requester = NewAgent(1, func(_ string, body []byte) {
 		if !lost {
-			other.Receive("asker", body)
+			other.Receive("requester", body)
 		}
 	}, known, clock.New(), zap.NewNop())
-	other = NewAgent(2, func(_ string, body []byte) { asker.Receive("other", body) }, known, clock.New(), zap.NewNop())
-	return asker, Owner{Name: "other", Address: "other"}, &lost
+	other = NewAgent(2, func(_ string, body []byte) { requester.Receive("other", body) }, known, clock.New(), zap.NewNop())
+	return requester, Owner{Name: "other", Address: "other"}, &lost
 }
 
 func TestAgent(t *testing.T) {
-	question := Asking{Question: Question{Place: 7, Want: true, Lookup: true}, Session: 5, Held: 1, Total: 100}
-	t.Run("asks an owner and hears of a session's place", func(t *testing.T) {
-		asker, owner, _ := pair(t)
-		reply, err := asker.Ask(t.Context(), owner, question)
+	query := Asking{Question: Question{Place: 7, Want: true, Lookup: true}, Session: 5, Held: 1, Total: 100}
+	t.Run("asks an owner and gets a hint to the session's place", func(t *testing.T) {
+		requester, owner, _ := newAgentPair(t)
+		reply, err := requester.Ask(t.Context(), owner, query)
 		require.NoError(t, err)
 		assert.True(t, reply.Granted)
-		asker.News(owner, 5, 9)
-		reply, err = asker.Ask(t.Context(), owner, question)
+		requester.News(owner, 5, 9)
+		reply, err = requester.Ask(t.Context(), owner, query)
 		require.NoError(t, err)
 		assert.EqualValues(t, 9, reply.Hint)
 	})
-	t.Run("gives up on a silent owner soon, and leaves it alone for a while", func(t *testing.T) {
+	t.Run("times out on a silent owner and backs off from it", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			asker, owner, lost := pair(t)
+			requester, owner, lost := newAgentPair(t)
 			*lost = true
-			began := clock.New().Now()
-			_, err := asker.Ask(t.Context(), owner, question)
+			startedAt := clock.New().Now()
+			_, err := requester.Ask(t.Context(), owner, query)
 			require.ErrorIs(t, err, ErrNoAnswer)
-			assert.Equal(t, askTimeoutMs, clock.New().Now()-began)
-			began = clock.New().Now()
-			_, err = asker.Ask(t.Context(), owner, question)
+			assert.Equal(t, askTimeoutMs, clock.New().Now()-startedAt)
+			startedAt = clock.New().Now()
+			_, err = requester.Ask(t.Context(), owner, query)
 			require.ErrorIs(t, err, ErrNoAnswer)
-			assert.Zero(t, clock.New().Now()-began)
+			assert.Zero(t, clock.New().Now()-startedAt)
 		})
 	})
-	t.Run("gives up when the caller leaves", func(t *testing.T) {
-		asker, owner, lost := pair(t)
+	t.Run("returns when the context is cancelled", func(t *testing.T) {
+		requester, owner, lost := newAgentPair(t)
 		*lost = true
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		_, err := asker.Ask(ctx, owner, question)
+		_, err := requester.Ask(ctx, owner, query)
 		assert.ErrorIs(t, err, ErrNoAnswer)
 	})
 }
@@ -198,7 +199,7 @@
 	f.Add(encodeMessage(kindHold, holdMessage{Box: 1, Place: 2, Held: 3}))
 	f.Add(encodeMessage(kindNews, newsMessage{Session: 1, Place: 2}))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		agent := NewAgent(1, func(string, []byte) {}, func(Place) (Standing, bool) { return standing(), true },
+		agent := NewAgent(1, func(string, []byte) {}, func(Place) (Standing, bool) { return testStanding(), true },
 			clock.New(), zap.NewNop())
 		if err := agent.receive("x", body); err != nil {
 			require.ErrorIs(t, err, ErrMalformed)
--- a/internal/grant/ledger.go
+++ b/internal/grant/ledger.go
@@ -1,9 +1,9 @@
-// Package grant lets one box of a failure domain count what all its boxes run on
-// an engine, and remember where sessions are warm. Each engine has an owner, the
-// box that rendezvous hashing picks; a box asks the owner for a slot before it
-// sends, and tells it when the slot is free. So the load bound holds although
-// each box sees only a sliver of the traffic and load reports are old. A box
-// whose owner does not answer decides by itself.
+// Package grant assigns each engine an owner among the boxes of a failure domain. The owner, which
+// rendezvous hashing selects, counts the requests in flight on the engine from all boxes and
+// remembers where sessions have cached prefixes. A box asks the owner for a slot before it sends a
+// request and reports when the slot is free again. The load bound therefore holds although each box
+// sees only a small part of the traffic and load reports lag. A box whose owner does not answer
+// decides by itself.
 package grant
 
 import (
@@ -14,167 +14,168 @@
 	"dooryard.example/dooryard/internal/membership"
 )
 
-// Box names a box on the wire.
+// Box is the ID of a box in messages.
 type Box = membership.ID
 
-// Place names an upstream within a pool on the wire.
+// Place is the ID of an upstream within a pool in messages.
 type Place uint32
 
-// Settings bound a ledger.
+// Settings are the expiry times of a ledger.
 type Settings struct {
-	// TotalsMs is how long a box's last told total counts.
-	TotalsMs clock.Millis
-	// HoldMs is how long a box's last told count on one upstream counts. Boxes
-	// tell it again in less.
-	HoldMs clock.Millis
+	// TotalTTLMs is how long the last total that a box reported for a pool is valid.
+	TotalTTLMs clock.Millis
+	// CountTTLMs is how long the last count that a box reported for one upstream is valid. Boxes
+	// repeat their counts more often than that.
+	CountTTLMs clock.Millis
 }
 
-// DefaultSettings suit requests that take seconds.
+// DefaultSettings returns settings for requests that take seconds.
 func DefaultSettings() Settings {
-	return Settings{TotalsMs: clock.Second, HoldMs: 60 * clock.Second}
+	return Settings{TotalTTLMs: clock.Second, CountTTLMs: 60 * clock.Second}
 }
 
-// Ledger is what an owner knows of its upstreams. It belongs to one goroutine at
-// a time.
+// Ledger is an owner's record of the requests in flight on its upstreams. It must not be used by
+// several goroutines at a time.
 type Ledger struct {
 	settings Settings
-	places   map[Place]*holds
-	totals   map[totalKey]told
-	// heard is scratch space.
-	heard []int
+	places   map[Place]*counts
+	totals   map[totalKey]reportedCount
+	// reported is a scratch buffer of mean.
+	reported []int
 }
 
-// holds is what runs on one upstream, by box. Boxes tell absolute counts, so
-// that a lost message is made good by the next one.
-type holds struct {
+// counts holds the requests in flight on one upstream by box. Boxes report absolute counts, so the
+// next message corrects the effect of a lost one.
+type counts struct {
 	sum   int
-	byBox map[Box]told
+	byBox map[Box]reportedCount
 }
 
-type told struct {
-	count int
-	atMs  clock.Millis
+type reportedCount struct {
+	count      int
+	receivedMs clock.Millis
 }
 
-// totalKey names what one box runs on a whole pool.
+// totalKey is the key of the requests that one box has in flight on a whole pool.
 type totalKey struct {
 	pool uint32
 	box  Box
 }
 
-// NewLedger returns a ledger that has granted nothing.
+// NewLedger returns an empty ledger.
 func NewLedger(settings Settings) *Ledger {
-	return &Ledger{settings: settings, places: map[Place]*holds{}, totals: map[totalKey]told{}}
+	return &Ledger{settings: settings, places: map[Place]*counts{}, totals: map[totalKey]reportedCount{}}
 }
 
-// Ask is a box's question for one slot.
+// Ask is a box's request for one slot.
 type Ask struct {
 	Place Place
 	Box   Box
-	// Held is what the box runs there if it gets the slot.
+	// Held is the number of requests that the box has in flight on the upstream if it gets the slot.
 	Held int
-	// Total is what the box runs on the whole pool if it gets the slot.
+	// Total is the number of requests that the box has in flight on the whole pool if it gets the
+	// slot.
 	Total int
-	// Settle asks for a slot only where the load is below the mean.
+	// Settle restricts the grant to an upstream whose load is below the mean.
 	Settle bool
 }
 
-// Standing is how an upstream stands in its pool, as its owner sees it.
+// Standing is the state of an upstream in its pool as seen by its owner.
 type Standing struct {
 	Pool uint32
-	// Part is the upstream's part of the pool's weight, 0 to 1.
+	// Part is the upstream's fraction of the pool's weight, 0 to 1.
 	Part float64
-	// Boxes is how many boxes send to the pool.
+	// Boxes is the number of boxes that send requests to the pool.
 	Boxes int
-	// BoundPercent is the set multiple of the mean load.
+	// BoundPercent is the load bound in percent of the mean load.
 	BoundPercent int
-	// Slots is how many requests the upstream runs at once.
+	// Slots is the number of requests that the upstream runs concurrently.
 	Slots int
-	// Closed is set when the upstream takes no new work.
+	// Closed is set when the upstream does not accept new work.
 	Closed bool
 }
 
-// Ask grants a slot when the upstream stays within the bound with it. Over is by
-// how many requests it would be above the bound; at most 0 when granted.
+// Ask grants a slot if the upstream stays within the load bound and its slots, and if it meets the
+// condition of Settle. Over is the number of requests by which the upstream would exceed the limit.
+// It is not positive when the slot is granted.
 func (l *Ledger) Ask(a Ask, s Standing, now clock.Millis) (granted bool, over int) {
-	l.totals[totalKey{pool: s.Pool, box: a.Box}] = told{count: a.Total, atMs: now}
-	h := l.holds(a.Place)
-	h.set(a.Box, a.Held, now)
-	l.expire(h, now)
+	l.totals[totalKey{pool: s.Pool, box: a.Box}] = reportedCount{count: a.Total, receivedMs: now}
+	c := l.counts(a.Place)
+	c.set(a.Box, a.Held, now)
+	l.expire(c, now)
 	mean := l.mean(s, now)
-	over = h.sum - min(Limit(mean, s.BoundPercent), s.Slots)
-	if over <= 0 && (!a.Settle || float64(h.sum) <= math.Ceil(settlePart*mean)) {
+	over = c.sum - min(Limit(mean, s.BoundPercent), s.Slots)
+	if over <= 0 && (!a.Settle || float64(c.sum) <= math.Ceil(settleFraction*mean)) {
 		return true, over
 	}
-	h.set(a.Box, a.Held-1, now)
+	c.set(a.Box, a.Held-1, now)
 	return false, over
 }
 
-func (l *Ledger) holds(place Place) *holds {
-	h := l.places[place]
-	if h == nil {
-		h = &holds{byBox: map[Box]told{}}
-		l.places[place] = h
+func (l *Ledger) counts(place Place) *counts {
+	c := l.places[place]
+	if c == nil {
+		c = &counts{byBox: map[Box]reportedCount{}}
+		l.places[place] = c
 	}
-	return h
+	return c
 }
 
-func (h *holds) set(box Box, count int, now clock.Millis) {
-	h.sum += count - h.byBox[box].count
+func (c *counts) set(box Box, count int, now clock.Millis) {
+	c.sum += count - c.byBox[box].count
 	if count <= 0 {
-		h.sum -= count
-		delete(h.byBox, box)
+		c.sum -= count
+		delete(c.byBox, box)
 		return
 	}
-	h.byBox[box] = told{count: count, atMs: now}
+	c.byBox[box] = reportedCount{count: count, receivedMs: now}
 }
 
-// expire forgets counts that were not told again.
-func (l *Ledger) expire(h *holds, now clock.Millis) {
-	for box, t := range h.byBox {
-		if now-t.atMs > l.settings.HoldMs {
-			h.set(box, 0, now)
+// expire removes counts that were not repeated in time.
+func (l *Ledger) expire(c *counts, now clock.Millis) {
+	for box, t := range c.byBox {
+		if now-t.receivedMs > l.settings.CountTTLMs {
+			c.set(box, 0, now)
 		}
 	}
 }
 
-// mean is an upstream's part of the pool's load. The load is estimated from the
-// newest totals of the boxes that asked lately. The others are taken to run the
-// median of those: boxes that were not heard are rather quiet ones, and the mean
-// would let one busy box count for them too.
+// mean returns an upstream's part of the pool's estimated load. The estimate sums the totals of the
+// boxes that asked recently and assumes the median of those for each other box. Boxes without a
+// recent total tend to have little traffic, and the mean would let one busy box raise the estimate
+// for all of them.
 func (l *Ledger) mean(s Standing, now clock.Millis) float64 {
-	heard := l.heard[:0]
+	reported := l.reported[:0]
 	sum := 0
 	for key, t := range l.totals {
-		if now-t.atMs > l.settings.TotalsMs {
+		if now-t.receivedMs > l.settings.TotalTTLMs {
 			delete(l.totals, key)
 			continue
 		}
 		if key.pool == s.Pool {
 			sum += t.count
-			heard = append(heard, t.count)
+			reported = append(reported, t.count)
 		}
 	}
-	l.heard = heard
+	l.reported = reported
 	load := float64(sum)
-	if unheard := s.Boxes - len(heard); unheard > 0 && len(heard) > 0 {
-		slices.Sort(heard)
-		load += float64(unheard * heard[len(heard)/2])
+	if unreported := s.Boxes - len(reported); unreported > 0 && len(reported) > 0 {
+		slices.Sort(reported)
+		load += float64(unreported * reported[len(reported)/2])
 	}
 	return load * s.Part
 }
 
-// settlePart is how full, as a part of the mean, an upstream may be for a session
-// that gets a new home there. Below the mean, later turns of the sessions that are
-// already there find room.
-const settlePart = 0.9
+// settleFraction is the fraction of the mean up to which an upstream accepts a session that has no
+// cached prefix there. The margin below the mean leaves capacity for later turns of the sessions
+// that are already there.
+const settleFraction = 0.9
 
-// smallMean is the mean below which the bound is rounded up: there a whole
-// request is more than an eighth of the mean, and rounding down would leave
-// upstreams no room above the mean at all.
+// smallMean is the mean below which the bound is rounded up. Below it, one request is more than an
+// eighth of the mean, and rounding down would leave upstreams no capacity above the mean at all.
 const smallMean = 8
 
-// Limit is the most requests in flight on an upstream that a mean allows.
+// Limit returns the maximum number of requests in flight on an upstream for a mean load.
 func Limit(mean float64, boundPercent int) int {
 	const percent = 100
 	bound := mean * float64(boundPercent) / percent
@@ -184,30 +185,31 @@
 	return int(bound)
 }
 
-// Hold takes in what a box runs on an upstream.
+// Hold records the number of requests that a box has in flight on an upstream.
 func (l *Ledger) Hold(place Place, box Box, held int, now clock.Millis) {
-	l.holds(place).set(box, held, now)
+	l.counts(place).set(box, held, now)
 }
 
-// Forget frees all slots of a box that is gone.
+// Forget removes all counts of a box that has left.
 func (l *Ledger) Forget(box Box) {
 	for key := range l.totals {
 		if key.box == box {
 			delete(l.totals, key)
 		}
 	}
-	for place, h := range l.places {
-		h.set(box, 0, 0)
-		if len(h.byBox) == 0 {
+	for place, c := range l.places {
+		c.set(box, 0, 0)
+		if len(c.byBox) == 0 {
 			delete(l.places, place)
 		}
 	}
 }
 
-// InFlight returns what runs on an upstream as far as this owner was told.
+// InFlight returns the number of requests in flight on an upstream according to the reports that
+// this owner received.
 func (l *Ledger) InFlight(place Place) int {
-	if h := l.places[place]; h != nil {
-		return h.sum
+	if c := l.places[place]; c != nil {
+		return c.sum
 	}
 	return 0
 }
--- a/internal/grant/search.go
+++ b/internal/grant/search.go
@@ -5,48 +5,47 @@
 	"slices"
 )
 
-// Reply is what an owner answers.
+// Reply is an owner's answer.
 type Reply struct {
 	Granted bool
-	// Over is by how many requests the upstream would be above its bound.
+	// Over is the number of requests by which the upstream would exceed its bound.
 	Over int
-	// Closed is set when the upstream takes no new work.
+	// Closed is set when the upstream does not accept new work.
 	Closed bool
-	// Hint is where the session is warm instead, or 0.
+	// Hint is another place that has the session's cached prefix, or 0.
 	Hint Place
 	// unknown is set when the owner does not know the place.
 	unknown bool
 }
 
-// Question is whom to ask next, and what.
+// Question is the next request of a search to an owner.
 type Question struct {
 	Place Place
-	// Lookup asks the owner of the first choice where the session is.
+	// Lookup asks the owner of the first choice for the place that has the session's cached prefix.
 	Lookup bool
-	// Want is not set when the place itself takes nothing now, so that only its
-	// owner's memory is asked for.
+	// Want requests a slot at the place. It is not set if the place does not accept new work, so that
+	// only the owner's directory is queried.
 	Want bool
-	// Settle asks for a slot only where the load is below the mean: a session
-	// that gets a new home should not be moved off it soon.
+	// Settle requests a slot only if the load is below the mean, because a session that moves to a
+	// new upstream should be able to stay there.
 	Settle bool
 }
 
-// Search is one request's way through the upstreams: whom to ask next, as a
-// function of the answers so far. It does no I/O.
+// Search selects the owners that one request asks, in order, based on the replies so far. It does
+// no I/O.
 type Search struct {
 	order  []Place
 	first  Place
 	hinted Place
-	// lookup is set until the owner of the first choice was asked.
+	// lookup is set until the owner of the first choice has replied.
 	lookup bool
-	// home is set while the place to ask next is one where the session may be
-	// warm.
-	home bool
-	// fresh is set for a session that can't be warm anywhere.
-	fresh  bool
-	at     int
-	denied []denial
-	asks   int
+	// nextCached is set while the next place to ask may have the session's cached prefix.
+	nextCached bool
+	// fresh is set for a new session, whose prefix can't be cached anywhere.
+	fresh    bool
+	index    int
+	denied   []denial
+	askCount int
 }
 
 type denial struct {
@@ -54,51 +53,51 @@
 	over  int
 }
 
-// Bounds of a search.
+// Limits of a search.
 const (
-	// MaxAsks bounds how many owners one request asks.
+	// MaxAsks is the maximum number of questions per request.
 	MaxAsks = 8
-	// settleTries is how many places a session without a home tries below the
-	// mean before it takes any within the bound.
-	settleTries = 6
+	// settleAttempts is the number of places that a session without a cached prefix tries below the
+	// mean before it accepts any place within the bound.
+	settleAttempts = 6
 )
 
-// NewSearch begins a search for a session through the open places in the order of
-// their rank. First is the first choice even if it is not open: its owner
-// remembers the session. Fresh is set for a session that can't be warm anywhere.
+// NewSearch starts a search for a session through the open places in rank order. The first choice
+// is passed even if it is not open, because its owner keeps the session's directory entry. Fresh is
+// set for a new session, whose prefix can't be cached anywhere.
 func NewSearch(first Place, open []Place, fresh bool) *Search {
 	s := &Search{order: slices.Clone(open), first: first, lookup: !fresh, fresh: fresh}
-	s.home = !fresh && s.firstIsOpen()
+	s.nextCached = !fresh && s.firstIsOpen()
 	return s
 }
 
 func (s *Search) firstIsOpen() bool { return len(s.order) > 0 && s.order[0] == s.first }
 
-// First returns the first choice, whose owner remembers where the session is.
+// First returns the first choice, whose owner keeps the session's directory entry.
 func (s *Search) First() Place { return s.first }
 
-// Next returns the next question, or false when there is none left.
+// Next returns the next question, or false if the search is exhausted.
 func (s *Search) Next() (Question, bool) {
-	if s.asks >= MaxAsks || len(s.order) == 0 {
+	if s.askCount >= MaxAsks || len(s.order) == 0 {
 		return Question{}, false
 	}
 	if s.lookup {
-		return Question{Place: s.first, Lookup: true, Want: s.home}, true
+		return Question{Place: s.first, Lookup: true, Want: s.nextCached}, true
 	}
-	if s.at < min(settleTries, len(s.order)) {
-		place := s.order[s.at]
-		return Question{Place: place, Want: true, Settle: !s.mayBeWarm(place)}, true
+	if s.index < min(settleAttempts, len(s.order)) {
+		place := s.order[s.index]
+		return Question{Place: place, Want: true, Settle: !s.maybeCached(place)}, true
 	}
-	return s.nextDenied()
+	return s.retryDenied()
 }
 
-// mayBeWarm reports whether a place holds the session's newest prefix, or, as the
-// first choice of a returning one, maybe an older.
-func (s *Search) mayBeWarm(place Place) bool { return s.home || place == s.first && !s.fresh }
+// maybeCached reports whether a place has the session's newest prefix. The first choice of a known
+// session counts too, because it may have an older one.
+func (s *Search) maybeCached(place Place) bool { return s.nextCached || place == s.first && !s.fresh }
 
-// nextDenied goes through the places again, the least loaded first, now taking
-// any that stays within the bound.
-func (s *Search) nextDenied() (Question, bool) {
+// retryDenied returns a question for the least loaded place that was denied, this time accepting
+// any load within the bound.
+func (s *Search) retryDenied() (Question, bool) {
 	if len(s.denied) == 0 {
 		return Question{}, false
 	}
@@ -106,47 +105,47 @@
 	return Question{Place: s.denied[0].place, Want: true}, true
 }
 
-// Hear takes in the answer to the last question. It returns true when the place
-// was granted, which ends the search.
+// Hear processes the reply to the last question. It returns true if the slot was granted, which
+// ends the search.
 func (s *Search) Hear(q Question, r Reply) bool {
-	s.asks++
+	s.askCount++
 	if r.Granted {
 		return true
 	}
 	if q.Lookup {
 		s.lookup = false
-		if s.follow(r.Hint) || !q.Want {
+		if s.askHintNext(r.Hint) || !q.Want {
 			return false
 		}
 	}
-	if s.at >= min(settleTries, len(s.order)) {
-		// Not even the least loaded has room within the bound.
-		s.asks = MaxAsks
+	if s.index >= min(settleAttempts, len(s.order)) {
+		// Even the least loaded place has no capacity within the bound.
+		s.askCount = MaxAsks
 		return false
 	}
 	if !r.Closed {
 		s.denied = append(s.denied, denial{place: q.Place, over: r.Over})
 	}
-	s.at++
-	s.home = false
+	s.index++
+	s.nextCached = false
 	return false
 }
 
-// follow lets a hinted place be asked next.
-func (s *Search) follow(hint Place) bool {
-	at := slices.Index(s.order, hint)
-	if hint == 0 || at < 0 {
+// askHintNext moves a hinted place to the front of the order, so that it is asked next.
+func (s *Search) askHintNext(hint Place) bool {
+	index := slices.Index(s.order, hint)
+	if hint == 0 || index < 0 {
 		return false
 	}
 	s.hinted = hint
-	s.home = true
-	copy(s.order[1:at+1], s.order[:at])
+	s.nextCached = true
+	copy(s.order[1:index+1], s.order[:index])
 	s.order[0] = hint
 	return true
 }
 
-// Least returns the place that was denied by the smallest excess, for when all
-// are above the bound.
+// Least returns the denied place that is the least above its bound, for use when all places are
+// above it.
 func (s *Search) Least() (Place, bool) {
 	if len(s.denied) == 0 {
 		return 0, false
@@ -154,6 +153,7 @@
 	return s.denied[0].place, true
 }
 
-// News reports whether the owner of the first choice has to hear that the session
-// went to a place. A grant at the first choice itself tells it already.
+// News reports whether the owner of the first choice must be notified of the place that granted a
+// slot. A grant at the first choice itself, or at the place that its owner hinted, needs no
+// notification.
 func (s *Search) News(place Place) bool { return place != s.first && place != s.hinted }
--- a/internal/grant/sizes.go
+++ b/internal/grant/sizes.go
@@ -1,11 +1,11 @@
 package grant
 
-// Sizes are the bytes of this package's datagrams on the socket.
+// Sizes are the sizes in bytes of this package's datagrams on the wire.
 type Sizes struct {
 	Ask, Reply, Hint, Hold, News int
 }
 
-// WireSizes returns the sizes of the datagrams, which are the same for all.
+// WireSizes returns the sizes of the datagrams, which are constant.
 func WireSizes() Sizes {
 	const envelope = 1 + CodeBytes
 	return Sizes{
--- a/internal/grant/wire.go
+++ b/internal/grant/wire.go
@@ -10,14 +10,15 @@
 // ChannelName is the first byte of this package's datagrams.
 const ChannelName = 'g'
 
-// CodeBytes is how much of the authentication code the datagrams carry. They are
-// the most frequent ones between boxes, and a forged one shifts a little load.
+// CodeBytes is the length to which the authentication code of the datagrams is truncated. They are
+// the most frequent datagrams between boxes, and a forged one can shift only a small amount of
+// load.
 const CodeBytes = 4
 
 // ErrMalformed means that a message could not be decoded.
 var ErrMalformed = errors.New("malformed grant message")
 
-// Kinds of messages: the first byte of a body.
+// Message kinds, encoded as the first byte of a body.
 const (
 	kindAsk byte = iota + 1
 	kindReply
@@ -26,7 +27,7 @@
 	kindNews
 )
 
-// Flags of asks and replies.
+// Flags of ask and reply messages.
 const (
 	flagLookup byte = 1 << iota
 	flagWant
@@ -37,7 +38,7 @@
 	flagClosed
 )
 
-// askMessage is a question on the wire, in fixed fields.
+// askMessage is a question, encoded as fixed-size fields.
 type askMessage struct {
 	Sequence uint16
 	Box      Box
@@ -48,34 +49,35 @@
 	Total    uint16
 }
 
-// replyMessage is its answer.
+// replyMessage is the reply to an askMessage.
 type replyMessage struct {
 	Sequence uint16
 	Flags    byte
 	Over     int8
 }
 
-// hintMessage is the answer that names where a session is warm.
+// hintMessage is the reply that names the place with the session's cached prefix.
 type hintMessage struct {
 	Sequence uint16
 	Hint     Place
 }
 
-// holdMessage tells what a box runs on an upstream.
+// holdMessage reports the number of requests that a box has in flight on an upstream.
 type holdMessage struct {
 	Box   Box
 	Place Place
 	Held  uint16
 }
 
-// newsMessage tells the owner of a session's first choice where it went.
+// newsMessage informs the owner of a session's first choice of the place that the session was sent
+// to.
 type newsMessage struct {
 	Session Session
 	Place   Place
 }
 
-// encodeMessage returns a message's bytes behind its kind. Messages have fixed
-// fields only, which always can be encoded.
+// encodeMessage returns the kind followed by the encoded message. Encoding can't fail, because
+// messages have only fixed-size fields.
 func encodeMessage[T any](kind byte, message T) []byte {
 	body, err := binary.Append([]byte{kind}, binary.BigEndian, message)
 	if err != nil {
@@ -84,7 +86,7 @@
 	return body
 }
 
-// decodeMessage reads a message whose kind was read.
+// decodeMessage decodes the message that follows the kind.
 func decodeMessage[T any](body []byte) (T, error) {
 	var message T
 	if len(body) != 1+binary.Size(message) {
