--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// Explanation says how one member stands for a key.
+// Explanation describes the rank and state of one member for a key.
 type Explanation struct {
 	Rank     int    `json:"rank"`
 	Name     string `json:"name"`
 	Picked   bool   `json:"picked"`
 	Reason   string `json:"reason"`
 	InFlight int    `json:"in_flight"`
-	// Bound is what this box may have there now.
+	// Bound is the number of requests that this box may currently have in flight on the member.
 	Bound    int `json:"bound"`
 	Reported int `json:"reported"`
 	Weight   int `json:"weight"`
-	// Owner is the box that counts what all boxes run there.
+	// Owner is the box that counts the requests of all boxes on the member.
 	Owner string `json:"owner,omitempty"`
 }
 
-// Reasons of an explanation.
+// Values of Explanation.Reason.
 const (
 	ReasonOpen     = "open"
 	ReasonLeaving  = "leaving"
@@ -30,8 +30,8 @@
 	ReasonBound    = "at this box's part of the load bound"
 )
 
-// Explain returns the members as they rank for a key, first choice first, and
-// which one the policy takes now.
+// Explain returns the members in rank order for a key, first choice first, and marks the one that
+// the policy currently picks.
 func (p Policy) Explain(v *View, key Key) []Explanation {
 	order := []int{}
 	for i := range v.Members {
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -9,27 +9,27 @@
 
 // Errors of a decision.
 var (
-	// ErrNoUpstream means that no upstream takes this work at all.
+	// ErrNoUpstream means that no upstream accepts new work.
 	ErrNoUpstream = errors.New("no upstream serves this")
-	// ErrSaturated means that all usable upstreams are at their slots.
+	// ErrSaturated means that all usable upstreams have reached this box's part of their slots.
 	ErrSaturated = errors.New("all upstreams are at their limit")
-	// ErrUnknownPolicy means that no policy has this name.
+	// ErrUnknownPolicy means that there is no policy with this name.
 	ErrUnknownPolicy = errors.New("unknown policy")
 )
 
-// none is the position of no member.
+// none is the position returned when no member is found.
 const none = -1
 
-// MaxTried is how many members one request may exclude.
+// MaxTried is the maximum number of members that one request can exclude.
 const MaxTried = 10
 
-// Tried is the set of members that one request has tried, by position.
+// Tried is the set of positions of the members that one request has already tried.
 type Tried struct {
 	positions [MaxTried]int
 	count     int
 }
 
-// With returns the set with one more member.
+// With returns the set with one more member, or the unchanged set if it is full.
 func (t Tried) With(position int) Tried {
 	if t.count < MaxTried {
 		t.positions[t.count] = position
@@ -42,14 +42,14 @@
 	return slices.Contains(t.positions[:t.count], position)
 }
 
-// Policy is one way to choose among a view's members.
+// Policy selects one of a view's members.
 type Policy struct {
 	Name string
-	// pick returns a position, or none. It may change the view's sequence.
+	// pick returns a position, or none. It may advance the view's sequence.
 	pick func(v *View, key Key, tried Tried) int
 }
 
-// PolicyByName returns a policy that Policies lists.
+// PolicyByName returns the policy with a name that Policies lists.
 func PolicyByName(name string) (Policy, error) {
 	for _, policy := range Policies() {
 		if policy.Name == name {
@@ -59,8 +59,8 @@
 	return Policy{}, ErrUnknownPolicy
 }
 
-// Pick returns the position of the member that takes a request.
-// ErrNoUpstream and ErrSaturated tell why there is none.
+// Pick returns the position of the member that receives a request. If there is none, it returns
+// ErrNoUpstream or ErrSaturated.
 func (p Policy) Pick(v *View, key Key, tried Tried) (int, error) {
 	if position := p.pick(v, key, tried); position != none {
 		return position, nil
@@ -73,50 +73,50 @@
 	return none, ErrNoUpstream
 }
 
-// open reports whether a member may take one more request from this box as far as
-// its slots go. A box alone can't see the others' use, so it keeps to its part.
+// open reports whether a member can accept one more request from this box within its slots. A box
+// can't see how many slots the other boxes use, so it keeps to its own part.
 func (v *View) open(position int, tried Tried) bool {
 	m := &v.Members[position]
 	return m.usable() && m.Used < m.slotShare && !tried.has(position)
 }
 
-// slotShare is this box's part of a member's slots. The boxes' parts add up to
-// the slots, but each box keeps one when there are fewer slots than boxes.
+// slotShare returns this box's part of a member's slots. The parts of all boxes add up to the
+// slots, except that each box gets at least one slot if there are fewer slots than boxes.
 func (v *View) slotShare(m *Member) int {
-	part := float64(m.Slots)/float64(v.boxes) + m.offset
-	return max(1, int(part))
+	share := float64(m.Slots)/float64(v.boxes) + m.roundingOffset
+	return max(1, int(share))
 }
 
-// boundShare is how many requests this box may have on a member, if one more
-// comes, so that the sum over boxes keeps the set multiple of the mean: when no
-// box is above the multiple of its own mean, their sum is not above the multiple
-// of the common mean. Boxes round by their places, so the sum is rounded once.
+// boundShare returns the maximum number of requests that this box may have in flight on a member,
+// counting one more request. If no box exceeds the bound relative to its own mean load, the sum
+// over all boxes does not exceed the bound relative to the total mean load. Each box rounds
+// according to its rank, so that the sum is rounded only once.
 func (v *View) boundShare(m *Member) float64 {
-	return float64(v.total+1)*m.boundPart + m.offset
+	return float64(v.total+1)*m.boundFactor + m.roundingOffset
 }
 
-// withinOwnBound reports whether one more request on a member keeps this box's
-// part of the load bound.
+// withinOwnBound reports whether one more request on a member stays within this box's part of the
+// load bound.
 func (v *View) withinOwnBound(position int) bool {
 	m := &v.Members[position]
 	return m.InFlight+1 <= int(v.boundShare(m))
 }
 
-// Usable reports whether new work may go to a member that was not tried, its slots
-// and load left aside.
+// Usable reports whether a member accepts new work and was not tried. It ignores the member's slots
+// and load.
 func (v *View) Usable(position int, tried Tried) bool {
 	return v.Members[position].usable() && !tried.has(position)
 }
 
-// WithinOwnBound reports whether one more request on a member keeps this box's
-// part of the load bound.
+// WithinOwnBound reports whether one more request on a member stays within this box's part of the
+// load bound.
 func (v *View) WithinOwnBound(position int) bool { return v.withinOwnBound(position) }
 
-// firstByScore returns the best ranked member among those that the filter takes.
-func (v *View) firstByScore(key Key, tried Tried, within func(v *View, position int) bool) int {
+// firstByScore returns the highest ranked open member that passes the filter.
+func (v *View) firstByScore(key Key, tried Tried, filter func(v *View, position int) bool) int {
 	best, bestScore := none, uint64(math.MaxUint64)
 	for _, g := range v.groups {
-		position, hash := v.firstOfGroup(g, key, tried, within)
+		position, hash := v.firstOfGroup(g, key, tried, filter)
 		if position == none {
 			continue
 		}
@@ -127,15 +127,15 @@
 	return best
 }
 
-// firstOfGroup finds the best of equally weighted members: their scores order
-// them as their hashes do, so that no logarithm is needed.
+// firstOfGroup returns the highest ranked open member of a group that passes the filter. Within a
+// group, the order of the scores follows from the hashes, so no logarithm is needed.
 func (v *View) firstOfGroup(
-	g group, key Key, tried Tried, within func(v *View, position int) bool,
+	g group, key Key, tried Tried, filter func(v *View, position int) bool,
 ) (position int, hash uint64) {
 	position = none
 	for i, id := range g.ids {
 		h := mix(uint64(key)^id) | 1
-		if h <= hash || !v.open(g.positions[i], tried) || !within(v, g.positions[i]) {
+		if h <= hash || !v.open(g.positions[i], tried) || !filter(v, g.positions[i]) {
 			continue
 		}
 		position, hash = g.positions[i], h
@@ -143,9 +143,8 @@
 	return position, hash
 }
 
-// Ranked appends the positions of the first members in the order of their rank
-// for a key, as many as the slice has room for. Members that take nothing now
-// are among them.
+// Ranked fills the slice up to its capacity with the positions of the highest ranked members for a
+// key, in rank order. It includes members that do not accept new work.
 func (v *View) Ranked(key Key, ranked []int) []int {
 	top := topRanks{limit: min(cap(ranked), MaxTried)}
 	for _, g := range v.groups {
@@ -154,7 +153,7 @@
 	return append(ranked[:0], top.positions[:top.count]...)
 }
 
-// topRanks is the best ranked members so far, best first.
+// topRanks holds the highest ranked members found so far, best first.
 type topRanks struct {
 	positions [MaxTried]int
 	scores    [MaxTried]uint64
@@ -162,8 +161,8 @@
 	limit     int
 }
 
-// addGroup takes in the best of a group. Within the group a member can only be
-// among them when its hash is among the group's highest.
+// addGroup adds the highest ranked members of a group. Only the members with the highest hashes of
+// the group can be among them.
 func (t *topRanks) addGroup(g group, key Key) {
 	var hashes [MaxTried]uint64
 	var positions [MaxTried]int
@@ -176,12 +175,12 @@
 		if count < t.limit {
 			count++
 		}
-		at := count - 1
-		for at > 0 && hashes[at-1] < h {
-			hashes[at], positions[at] = hashes[at-1], positions[at-1]
-			at--
+		index := count - 1
+		for index > 0 && hashes[index-1] < h {
+			hashes[index], positions[index] = hashes[index-1], positions[index-1]
+			index--
 		}
-		hashes[at], positions[at] = h, g.positions[i]
+		hashes[index], positions[index] = h, g.positions[i]
 	}
 	for i := range count {
 		t.add(positions[i], negativeLog(hashes[i])*g.inverseWeight)
@@ -195,16 +194,16 @@
 	if t.count < t.limit {
 		t.count++
 	}
-	at := t.count - 1
-	for at > 0 && t.scores[at-1] > s {
-		t.scores[at], t.positions[at] = t.scores[at-1], t.positions[at-1]
-		at--
+	index := t.count - 1
+	for index > 0 && t.scores[index-1] > s {
+		t.scores[index], t.positions[index] = t.scores[index-1], t.positions[index-1]
+		index--
 	}
-	t.scores[at], t.positions[at] = s, position
+	t.scores[index], t.positions[index] = s, position
 }
 
-// leastBy returns the open member with the least load per weight.
-func (v *View) leastBy(tried Tried, load func(m *Member) int) int {
+// leastLoaded returns the open member with the lowest load relative to its weight.
+func (v *View) leastLoaded(tried Tried, load func(m *Member) int) int {
 	best, bestLoad := none, math.Inf(1)
 	for i := range v.Members {
 		if !v.open(i, tried) {
--- a/internal/route/policies.go
+++ b/internal/route/policies.go
@@ -8,16 +8,16 @@
 	PolicyTwoChoices      = "two-choices"
 	PolicyRendezvous      = "rendezvous"
 	PolicyRendezvousBound = "rendezvous-own-bound"
-	// PolicyGrants asks the boxes that own the engines; package picker carries
-	// it out. Plain services keep to PolicyRendezvousBound under it.
+	// PolicyGrants asks the boxes that own the engines for slots. Package picker implements it.
+	// Services other than chat use PolicyRendezvousBound instead.
 	PolicyGrants = "grants"
 )
 
 // DefaultPolicy is the policy of a box whose settings name none.
 const DefaultPolicy = PolicyGrants
 
-// Policies returns the policies that need only a box's own view; the first ones
-// are baselines to measure by.
+// Policies returns the policies that need only a box's own view. The first ones serve as baselines
+// in benchmarks.
 func Policies() []Policy {
 	return []Policy{
 		{Name: PolicyRandom, pick: pickRandom},
@@ -29,14 +29,14 @@
 	}
 }
 
-// next returns a number that is different for each call, spread over 64 bits.
-func (v *View) next(key Key) uint64 {
+// nextRandom returns a pseudorandom 64-bit number that differs between calls.
+func (v *View) nextRandom(key Key) uint64 {
 	v.sequence++
 	return mix(uint64(key) ^ v.sequence*0x9e3779b97f4a7c15)
 }
 
-// openFrom returns the first open member from a position on, in a circle.
-func (v *View) openFrom(start int, tried Tried) int {
+// firstOpenFrom returns the first open member at or after a position, wrapping around at the end.
+func (v *View) firstOpenFrom(start int, tried Tried) int {
 	for i := range v.Members {
 		position := (start + i) % len(v.Members)
 		if v.open(position, tried) {
@@ -50,7 +50,7 @@
 	if len(v.Members) == 0 {
 		return none
 	}
-	return v.openFrom(int(v.next(key)%uint64(len(v.Members))), tried)
+	return v.firstOpenFrom(int(v.nextRandom(key)%uint64(len(v.Members))), tried)
 }
 
 func pickRoundRobin(v *View, _ Key, tried Tried) int {
@@ -58,13 +58,13 @@
 		return none
 	}
 	v.sequence++
-	return v.openFrom(int(v.sequence%uint64(len(v.Members))), tried)
+	return v.firstOpenFrom(int(v.sequence%uint64(len(v.Members))), tried)
 }
 
 func reportedLoad(m *Member) int { return m.Reported }
 
 func pickLeastReported(v *View, _ Key, tried Tried) int {
-	return v.leastBy(tried, reportedLoad)
+	return v.leastLoaded(tried, reportedLoad)
 }
 
 func pickTwoChoices(v *View, key Key, tried Tried) int {
@@ -92,7 +92,7 @@
 	if position != none {
 		return position
 	}
-	return v.leastBy(tried, ownLoad)
+	return v.leastLoaded(tried, ownLoad)
 }
 
 func ownLoad(m *Member) int { return m.InFlight }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -39,15 +39,15 @@
 
 func TestRendezvous(t *testing.T) {
 	const keys = 20_000
-	t.Run("is the same at all boxes", func(t *testing.T) {
-		one := NewView(members(40), 125, boxNames(9), "box-1")
-		two := NewView(members(40), 125, boxNames(9), "box-2")
+	t.Run("is the same on all boxes", func(t *testing.T) {
+		first := NewView(members(40), 125, boxNames(9), "box-1")
+		second := NewView(members(40), 125, boxNames(9), "box-2")
 		for i := range 1000 {
 			key := NewKey("o", fmt.Sprint(i))
-			assert.Equal(t, pickName(t, PolicyRendezvous, one, key), pickName(t, PolicyRendezvous, two, key))
+			assert.Equal(t, pickName(t, PolicyRendezvous, first, key), pickName(t, PolicyRendezvous, second, key))
 		}
 	})
-	t.Run("gives members keys by their weight", func(t *testing.T) {
+	t.Run("assigns keys to members by weight", func(t *testing.T) {
 		double := func(i int, m *Member) {
 			if i == 0 {
 				m.TableWeight = 200
@@ -78,21 +78,21 @@
 }
 
 func TestPick(t *testing.T) {
-	t.Run("tells that nothing serves", func(t *testing.T) {
+	t.Run("fails when no upstream accepts new work", func(t *testing.T) {
 		v := NewView(members(2, func(_ int, m *Member) { m.Leaving = true }), 125, boxNames(1), "box-0")
 		p, err := PolicyByName(PolicyRendezvousBound)
 		require.NoError(t, err)
 		_, err = p.Pick(v, 1, Tried{})
 		assert.ErrorIs(t, err, ErrNoUpstream)
 	})
-	t.Run("tells that all are at their slots", func(t *testing.T) {
+	t.Run("fails when all slots are in use", func(t *testing.T) {
 		v := NewView(members(2, func(_ int, m *Member) { m.Slots, m.Used = 1, 1 }), 125, boxNames(1), "box-0")
 		p, err := PolicyByName(PolicyRendezvousBound)
 		require.NoError(t, err)
 		_, err = p.Pick(v, 1, Tried{})
 		assert.ErrorIs(t, err, ErrSaturated)
 	})
-	t.Run("leaves out what was tried", func(t *testing.T) {
+	t.Run("excludes members that were tried", func(t *testing.T) {
 		v := NewView(members(2), 125, boxNames(1), "box-0")
 		for _, policy := range Policies() {
 			position, err := policy.Pick(v, 1, Tried{}.With(0))
@@ -100,7 +100,7 @@
 			assert.Equal(t, 1, position, policy.Name)
 		}
 	})
-	t.Run("keeps a box's part of the bound", func(t *testing.T) {
+	t.Run("keeps to a box's part of the load bound", func(t *testing.T) {
 		v := NewView(members(10), 125, boxNames(1), "box-0")
 		p, err := PolicyByName(PolicyRendezvousBound)
 		require.NoError(t, err)
@@ -116,18 +116,18 @@
 }
 
 func TestEjection(t *testing.T) {
-	t.Run("never takes more than the set part of a pool", func(t *testing.T) {
+	t.Run("never ejects more than the panic percentage of a pool", func(t *testing.T) {
 		v := NewView(members(10), 125, boxNames(1), "box-0")
 		for i := range 10 {
 			v.SetEjected(i, true, 50)
 		}
-		out := 0
+		ejected := 0
 		for _, m := range v.Members {
 			if m.Ejected {
-				out++
+				ejected++
 			}
 		}
-		assert.Equal(t, 5, out)
+		assert.Equal(t, 5, ejected)
 	})
 }
 
@@ -140,7 +140,7 @@
 			assert.Equal(t, c.want, SlowStartWeight(100, 0, c.age, 30_000))
 		})
 	}
-	t.Run("of nothing stays nothing", func(t *testing.T) {
+	t.Run("is 0 for table weight 0", func(t *testing.T) {
 		assert.Zero(t, SlowStartWeight(0, 0, 0, 30_000))
 	})
 }
@@ -177,7 +177,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if len(v.Ranked(Key(i)*0x9e3779b97f4a7c15, ranked[:0])) != len(ranked) {
-					b.Fatal("too few")
+					b.Fatal("too few ranked members")
 				}
 			}
 		})
--- a/internal/route/score.go
+++ b/internal/route/score.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names a session within an organisation and a model for hashing.
+// Key is the hash of a session within an organisation and a model.
 type Key uint64
 
 // NewKey returns the key of an organisation's session.
@@ -20,23 +20,22 @@
 	return Key(digest.Sum64())
 }
 
-// HashName returns the hash by which an upstream or a box takes part in
-// rendezvous hashing.
+// HashName returns the hash of an upstream's or a box's name for rendezvous hashing.
 func HashName(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Fixed-point forms: a logarithm has logBits fraction bits, an inverse weight is
-// inverseOne divided by the weight.
+// Fixed-point formats: a logarithm has logBits fraction bits, and an inverse weight is inverseOne
+// divided by the weight.
 const (
 	logBits    = 20
 	tableBits  = 8
 	inverseOne = 1 << 34
-	// MaxWeight is the largest effective weight; slow start needs fractions, so
-	// weights are counted in 1/weightUnit.
+	// weightUnit is the number of units of effective weight per unit of table weight, because slow
+	// start needs fractions.
 	weightUnit = 100
 )
 
-// logTable holds log2(1+i/256) in fixed point, with one entry more for
-// interpolation. Integers keep the order of engines the same on every processor.
+// logTable holds log2(1+i/256) in fixed point, with an extra entry for interpolation. Integer
+// arithmetic keeps the order of engines the same on every processor.
 var logTable = newLogTable()
 
 func newLogTable() [1<<tableBits + 1]uint32 {
@@ -52,17 +51,18 @@
 	zeros := bits.LeadingZeros64(h)
 	fraction := h << (zeros + 1)
 	index := fraction >> (64 - tableBits)
-	rest := (fraction << tableBits) >> (64 - logBits)
+	remainder := (fraction << tableBits) >> (64 - logBits)
 	low, high := uint64(logTable[index]), uint64(logTable[index+1])
-	logarithm := low + (high-low)*rest>>logBits
+	logarithm := low + (high-low)*remainder>>logBits
 	return uint64(zeros+1)<<logBits - logarithm
 }
 
-// Score is how a member stands for a key in rendezvous hashing: the first one is that with the
-// largest score.
+// Score returns the score of a member for a key in unweighted rendezvous hashing. First and Rank
+// prefer the smallest score. Callers that compare scores themselves may prefer the largest one, if
+// all boxes do the same.
 func Score(key Key, member uint64) uint64 { return mix(uint64(key) ^ member) }
 
-// mix spreads the bits of a combined hash (the finalizer of splitmix64).
+// mix spreads the bits of a combined hash. It is the finalizer of splitmix64.
 func mix(h uint64) uint64 {
 	h ^= h >> 30
 	h *= 0xbf58476d1ce4e5b9
@@ -71,15 +71,15 @@
 	return h ^ h>>31
 }
 
-// score ranks a member for a key by weighted rendezvous hashing: the smallest
-// score is first, and a member is first for a part of all keys that is
-// proportional to its weight. The weight is not 0.
+// score returns the score of a member for a key in weighted rendezvous hashing. The smallest score
+// ranks first, and a member ranks first for a fraction of all keys in proportion to its weight. The
+// weight must not be 0.
 func score(key Key, member uint64, weight int) uint64 {
 	return negativeLog(mix(uint64(key)^member)|1) * (inverseOne / uint64(weight))
 }
 
-// First returns the position of the most preferred of equally weighted members
-// for a key, or -1 when there are none.
+// First returns the position of the highest ranked of equally weighted members for a key, or -1 if
+// there are none.
 func First(key Key, members []uint64) int {
 	first, best := -1, uint64(0)
 	for i, member := range members {
@@ -91,8 +91,8 @@
 	return first
 }
 
-// Rank orders equally weighted members for a key, most preferred first, and
-// returns their positions.
+// Rank returns the positions of equally weighted members in their order for a key, highest ranked
+// first.
 func Rank(key Key, members []uint64) []int {
 	order := make([]int, len(members))
 	scores := make([]uint64, len(members))
--- a/internal/route/view.go
+++ b/internal/route/view.go
@@ -1,5 +1,5 @@
-// Package route decides which engine takes a request. Decisions are pure
-// functions of a View: no clock, no I/O, no allocation.
+// Package route decides which engine receives a request. Decisions are pure functions of a View:
+// they use no clock, do no I/O and allocate no memory.
 package route
 
 import (
@@ -9,50 +9,51 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Member is one upstream as a decision sees it.
+// Member is the state of one upstream in a View.
 type Member struct {
 	Name string
 	// ID is the hash of the name.
 	ID uint64
-	// TableWeight is the weight that ranks the member for keys. It does not
-	// change while the member warms up or is out, so that ranks stay.
+	// TableWeight is the weight by which the member is ranked for keys. It stays constant during slow
+	// start and ejection, so that ranks do not change.
 	TableWeight int
-	// Weight is the effective weight in 1/100 of the table's, which sets the
-	// member's part of the load; 0 takes nothing.
+	// Weight is the effective weight in 1/100 of the table's weight. It determines the member's part
+	// of the load. A member with weight 0 receives no requests.
 	Weight int
-	// InFlight is what this box has running there for this model.
+	// InFlight is the number of requests that this box has in flight on the member for this model.
 	InFlight int
-	// Used is what this box has running there for all models.
+	// Used is the number of requests that this box has in flight on the member for all models.
 	Used int
-	// Reported is the newest known load from all boxes, which lags.
+	// Reported is the last reported load from all boxes, which lags behind the actual load.
 	Reported int
-	// OwnThen is what this box had running there when Reported was true.
-	OwnThen int
-	// Slots is how many requests the upstream runs at once, from all boxes.
+	// OwnAtReport is the number of requests that this box had in flight on the member when Reported
+	// was measured.
+	OwnAtReport int
+	// Slots is the number of requests from all boxes that the upstream runs concurrently.
 	Slots int
-	// Ejected is set while the upstream is out for failures.
+	// Ejected is set while the upstream is ejected because of failures.
 	Ejected bool
-	// Leaving is set when the upstream takes no new work.
+	// Leaving is set when the upstream is draining and accepts no new work.
 	Leaving bool
 
-	// offset is this box's place in the split of the upstream's slots, 0 to 1.
-	offset float64
-	// boundPart is the set multiple of the member's part of the pool's weight.
-	boundPart float64
+	// roundingOffset is this box's rank in the split of the upstream's slots, scaled to 0 to 1.
+	roundingOffset float64
+	// boundFactor is the member's part of the pool's weight multiplied by the load bound.
+	boundFactor float64
 	// slotShare is this box's part of the slots.
 	slotShare int
 }
 
-// usable reports whether new work may go to the member.
+// usable reports whether the member accepts new work.
 func (m *Member) usable() bool { return !m.Leaving && !m.Ejected && m.Weight > 0 }
 
-// View is all that a decision depends on. It belongs to one goroutine at a time.
+// View is the complete input of a decision. It must not be used by several goroutines at a time.
 type View struct {
 	Members []Member
-	// BoundPercent is the set multiple of the mean load.
+	// BoundPercent is the load bound in percent of the mean load.
 	BoundPercent int
 
-	// groups are the members by their weight in the table, for fast ranking.
+	// groups holds the members by their weight in the table, for fast ranking.
 	groups      []group
 	total       int
 	totalWeight int
@@ -60,9 +61,9 @@
 	sequence    uint64
 }
 
-// NewView returns a view on the members with this box's place among the boxes
-// of the failure domain. The members' order must not matter to callers: it is
-// by name.
+// NewView returns a view of the members for this box, which is one of the boxes of the failure
+// domain. The view orders the members by name, so callers must not rely on the order of the
+// argument.
 func NewView(members []Member, boundPercent int, boxes []string, self string) *View {
 	v := &View{Members: slices.Clone(members), BoundPercent: boundPercent}
 	slices.SortFunc(v.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
@@ -72,19 +73,19 @@
 		v.total += m.InFlight
 	}
 	v.buildGroups()
-	v.placeBoxes(boxes, self)
+	v.assignRoundingOffsets(boxes, self)
 	v.refreshWeights()
 	return v
 }
 
-// group is members of one weight, laid out for a scan over their ids.
+// group holds the members with one weight, laid out for a scan over their IDs.
 type group struct {
 	inverseWeight uint64
 	ids           []uint64
 	positions     []int
 }
 
-// buildGroups gathers the members that take part in ranking.
+// buildGroups groups the members that take part in ranking by weight.
 func (v *View) buildGroups() {
 	byWeight := map[int]*group{}
 	weights := []int{}
@@ -108,7 +109,7 @@
 	}
 }
 
-// refreshWeights recomputes what depends on the members' weights and health.
+// refreshWeights recomputes the values that depend on the members' weights and health.
 func (v *View) refreshWeights() {
 	v.totalWeight = 0
 	for i := range v.Members {
@@ -119,14 +120,14 @@
 	}
 	for i := range v.Members {
 		m := &v.Members[i]
-		m.boundPart = v.Part(i) * float64(v.BoundPercent) / percent
+		m.boundFactor = v.Part(i) * float64(v.BoundPercent) / percent
 		m.slotShare = v.slotShare(m)
 	}
 }
 
-// placeBoxes gives this box a place among the boxes for each member, so that
-// the boxes round their parts of one bound up and down in turn.
-func (v *View) placeBoxes(boxes []string, self string) {
+// assignRoundingOffsets ranks this box among the boxes for each member, so that some boxes round
+// their parts of a bound up and others round them down.
+func (v *View) assignRoundingOffsets(boxes []string, self string) {
 	hashes := make([]uint64, len(boxes))
 	for i, box := range boxes {
 		hashes[i] = HashName(box)
@@ -135,31 +136,31 @@
 	selfHash := HashName(self)
 	for i := range v.Members {
 		m := &v.Members[i]
-		place := 0
+		rank := 0
 		own := mix(m.ID ^ selfHash)
 		for _, h := range hashes {
 			if h != selfHash && mix(m.ID^h) < own {
-				place++
+				rank++
 			}
 		}
-		m.offset = (float64(place) + half) / float64(v.boxes)
+		m.roundingOffset = (float64(rank) + half) / float64(v.boxes)
 	}
 }
 
 const half = 0.5
 
-// Total returns what this box has in flight on all members.
+// Total returns the number of requests that this box has in flight on all members.
 func (v *View) Total() int { return v.total }
 
-// Part returns a member's part of the pool's weight, 0 to 1.
+// Part returns a member's fraction of the pool's weight, 0 to 1.
 func (v *View) Part(index int) float64 {
 	return float64(v.Members[index].Weight) / float64(max(1, v.totalWeight))
 }
 
-// Boxes returns how many boxes share the members.
+// Boxes returns the number of boxes that share the members.
 func (v *View) Boxes() int { return v.boxes }
 
-// Slots returns the slots of all usable members.
+// Slots returns the total slots of all usable members.
 func (v *View) Slots() int {
 	slots := 0
 	for i := range v.Members {
@@ -170,20 +171,20 @@
 	return slots
 }
 
-// Add changes this box's count in flight on a member.
+// Add changes the number of requests that this box has in flight on a member.
 func (v *View) Add(index, change int) {
 	v.Members[index].InFlight += change
 	v.total += change
 }
 
-// Report takes in a member's load from all boxes as it was some time ago, and
-// what this box had running there at that time.
-func (v *View) Report(index, inFlight, ownThen int) {
+// Report records a lagging report of a member's load from all boxes, and the number of requests
+// that this box had in flight there at the time of the report.
+func (v *View) Report(index, inFlight, ownAtReport int) {
 	v.Members[index].Reported = inFlight
-	v.Members[index].OwnThen = ownThen
+	v.Members[index].OwnAtReport = ownAtReport
 }
 
-// SetLeaving changes whether a member takes new work.
+// SetLeaving sets whether a member is leaving and accepts no new work.
 func (v *View) SetLeaving(index int, leaving bool) {
 	v.Members[index].Leaving = leaving
 	v.refreshWeights()
@@ -198,8 +199,8 @@
 	v.refreshWeights()
 }
 
-// SetEjected changes whether a member is out for failures. At most panicPercent
-// of the members may be out at once; the call has no effect beyond that.
+// SetEjected sets whether a member is ejected because of failures. At most panicPercent of the
+// members that are not leaving can be ejected at a time. Beyond that, the call has no effect.
 func (v *View) SetEjected(index int, ejected bool, panicPercent int) {
 	if v.Members[index].Ejected == ejected {
 		return
@@ -212,30 +213,30 @@
 }
 
 func (v *View) mayEject(panicPercent int) bool {
-	out, all := 1, 0
+	ejected, eligible := 1, 0
 	for i := range v.Members {
 		if v.Members[i].Leaving {
 			continue
 		}
-		all++
+		eligible++
 		if v.Members[i].Ejected {
-			out++
+			ejected++
 		}
 	}
-	return out*percent <= all*panicPercent
+	return ejected*percent <= eligible*panicPercent
 }
 
 const percent = 100
 
-// SlowStartWeight returns the effective weight of an upstream that joined at an
-// instant: it grows from a tenth to the whole of the table's weight.
+// SlowStartWeight returns the effective weight of an upstream that joined at joinedMs. It grows
+// linearly to the full table weight over slowStartMs and is at least a tenth of it.
 func SlowStartWeight(weight int, joinedMs, now, slowStartMs clock.Millis) int {
 	age := now - joinedMs
 	if age >= slowStartMs || weight <= 0 {
 		return weight * weightUnit
 	}
-	least := max(1, weight*weightUnit/slowStartFloor)
-	return max(least, int(int64(weight)*weightUnit*int64(max(0, age))/int64(slowStartMs)))
+	minWeight := max(1, weight*weightUnit/slowStartFloor)
+	return max(minWeight, int(int64(weight)*weightUnit*int64(max(0, age))/int64(slowStartMs)))
 }
 
 const slowStartFloor = 10
