--- a/internal/limit/queue.go
+++ b/internal/limit/queue.go
@@ -42,7 +42,7 @@
 }
 
 // NewQueue returns a queue in front of a pool. The capacity function returns how many requests may
-// run at once.
+// run concurrently.
 func NewQueue(settings QueueSettings, capacity func() int, now func() clock.Millis) *Queue {
 	return &Queue{
 		settings: settings, capacity: capacity, now: now, flows: map[string]*flowUsage{}, waiting: newFairQueue(),
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -23,8 +23,8 @@
 
 	mu      sync.Mutex
 	balance int
-	// recent is an exponentially decayed count of the first attempts in the last window, as
-	// of updatedMs.
+	// recent is an exponentially decayed count of the first attempts in the last window, as of
+	// updatedMs.
 	recent    float64
 	updatedMs clock.Millis
 }
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -143,8 +143,8 @@
 	return position, hash
 }
 
-// Ranked fills the slice up to its capacity with the positions of the highest ranked members for a
-// key, in rank order. It includes members that do not accept new work.
+// Ranked fills the slice, up to its capacity and at most MaxTried, with the positions of the
+// highest ranked members for a key, in rank order. It includes members that do not accept new work.
 func (v *View) Ranked(key Key, ranked []int) []int {
 	top := topRanks{limit: min(cap(ranked), MaxTried)}
 	for _, g := range v.groups {
--- a/internal/route/score.go
+++ b/internal/route/score.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key is the hash of a session within an organisation and a model.
+// Key is the hash of an organisation and a session.
 type Key uint64
 
 // NewKey returns the key of an organisation's session.
