--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -15,134 +15,138 @@
 	"dooryard.example/dooryard/internal/quarantine"
 )
 
-// Timing of the mesh.
+// Timing of gossip rounds and liveness.
 const (
-	// largePeriodMs is the period of a fleet of more than largeFleet boxes, where
-	// a box may spend 3 KB a second on control: an ask and a reply of 180 bytes, to
-	// and from four boxes.
+	// largePeriodMs is the period between rounds in a fleet of more than largeFleetBoxes boxes.
+	// There a box may spend 3 KB a second on control traffic, which allows a ping and a reply of
+	// 180 bytes each, exchanged with four boxes.
 	largePeriodMs clock.Millis = 1000
-	// forgetMs is how long the address of a silent box is kept at least: long enough for
-	// a cut to heal.
-	forgetMs clock.Millis = 60_000
-	// newcomerMs is how long a box counts as one that knows few others: a few rounds.
-	newcomerMs clock.Millis = 3000
-	// aliveMs is how long a box counts as there after it was last heard, or
-	// aliveCycles times the time in which every box is asked, if that is more.
-	aliveMs clock.Millis = 2500
+	// forgetAfterMs is the minimum time for which the address of an unresponsive box is kept. It is
+	// long enough for a network partition to heal.
+	forgetAfterMs clock.Millis = 60_000
+	// newPeerMs is how long a box counts as new, that is, as knowing few other boxes. It spans a
+	// few rounds.
+	newPeerMs clock.Millis = 3000
+	// minAliveMs is how long a box counts as alive after its last message. If pinging every box
+	// once takes long, aliveCycles times the duration of that cycle applies instead.
+	minAliveMs clock.Millis = 2500
 )
 
-// Sizes of the mesh.
+// Limits of rounds and datagrams.
 const (
-	largeFleet  = 128
-	largeFanout = 3
-	aliveCycles = 3
-	// minFanout is how many boxes are asked in a round, beside this box's
-	// sources; a larger fleet is asked in roundsPerCycle rounds, maxFanout at the most.
+	largeFleetBoxes = 128
+	largeFanout     = 3
+	aliveCycles     = 3
+	// minFanout is how many boxes are pinged per round, in addition to the store reader of the
+	// failure domain. A larger fleet is pinged within roundsPerCycle rounds, with at most maxFanout
+	// boxes per round.
 	minFanout      = 6
 	maxFanout      = 32
 	roundsPerCycle = 10
-	// newcomerSample is how many boxes a datagram names to a box that was first heard
-	// within newcomerMs, or that is not known yet. To others one reply in settledOneIn
-	// names a box, for those that forgot each other in a long cut.
-	newcomerSample = 16
-	settledOneIn   = 16
-	// maxKept bounds the parts of prompts that a datagram names, at 11 bytes each:
-	// more than a box has engines read while it misses a cycle.
-	maxKept = 64
-	// maxEndings bounds the news of ended upstreams in a datagram, at 16 bytes each, and
-	// maxEndingsLarge those in a large fleet, where a box sends and answers some seven
-	// datagrams a second.
+	// newPeerSample is how many boxes a datagram names to a receiver that is unknown or was first
+	// seen less than newPeerMs ago. To other receivers, one in repliesPerSample replies names one
+	// box, so that boxes that forgot each other during a long partition find each other again.
+	newPeerSample    = 16
+	repliesPerSample = 16
+	// maxCachedParts limits the prompt parts that a datagram names, at 11 bytes each. It exceeds
+	// the number of parts that a box's engines process while the box misses a cycle.
+	maxCachedParts = 64
+	// maxEndings limits the upstream endings that a datagram reports, at 16 bytes each.
+	// maxEndingsLarge applies in a large fleet, where a box sends and answers about seven datagrams
+	// a second.
 	maxEndings      = 64
 	maxEndingsLarge = 16
-	// sources is how many boxes of a failure domain read the store for it. Boxes
-	// of other domains are asked too, so that one silent source costs nothing.
-	sources = 1
+	// readersPerDomain is how many boxes of a failure domain read the store on behalf of it. Boxes
+	// of other domains are pinged too, so an unresponsive reader does no harm by itself.
+	readersPerDomain = 1
 )
 
-// Answer is what another box knew between two instants of this box.
+// Answer is the state of another box, observed at some instant between the ping and the reply.
 type Answer struct {
 	From      Identity
 	Knowledge Knowledge
-	// AskedMs is when this box asked, or 0 for news that nobody asked for.
+	// AskedMs is when this box sent its ping, or 0 for an unsolicited update.
 	AskedMs clock.Millis
 }
 
-// Mesh is this box's part of the mesh. It is safe for concurrent use.
+// Mesh is this box's member of the gossip mesh. It is safe for concurrent use.
 type Mesh struct {
-	self      Identity
-	clock     clock.Clock
-	period    clock.Millis
-	conn      net.PacketConn
-	contacts  func() []string
-	knowledge func() Knowledge
-	inFlight  func() map[namekey.Key]int
-	running   func() map[namekey.Key]int
-	ledger    *occupancy.Ledger
-	kept      func(from int64, most int) ([]prompt.Kept, int64)
-	learnKept func(list []prompt.Kept)
-	endings   func(from int64, most int) ([]quarantine.Ending, int64)
-	learnEnds func(list []quarantine.Ending)
-	answered  func(a Answer)
-	random    *rand.Rand
+	self             Identity
+	clock            clock.Clock
+	period           clock.Millis
+	conn             net.PacketConn
+	contacts         func() []string
+	knowledge        func() Knowledge
+	inFlight         func() map[namekey.Key]int
+	running          func() map[namekey.Key]int
+	ledger           *occupancy.Ledger
+	cachedParts      func(from int64, limit int) ([]prompt.Kept, int64)
+	learnCachedParts func(list []prompt.Kept)
+	endings          func(from int64, limit int) ([]quarantine.Ending, int64)
+	learnEndings     func(list []quarantine.Ending)
+	onAnswer         func(a Answer)
+	random           *rand.Rand
 
 	mu    sync.Mutex
 	peers map[string]*peer
-	// heard is how many of the peers were heard themselves, not only named.
-	heard   int
-	leaving bool
-	// order is what is left of the boxes to ask in this cycle.
-	order     []string
-	ignored   int64
-	sentBytes int64
-	unsent    int64
+	// directPeers is the number of peers that sent a message themselves. The others are known only
+	// because another box named them.
+	directPeers int
+	leaving     bool
+	// toPing holds the boxes that are still to be pinged in this cycle.
+	toPing     []string
+	ignored    int64
+	sentBytes  int64
+	sendErrors int64
 
-	asks placeAsks
-	// unansweredPlaces counts asks for places that no owner answered in time.
-	unansweredPlaces int64
+	pendingSlots slotRequests
+	// slotTimeouts counts slot requests that no owner answered in time.
+	slotTimeouts int64
 }
 
-// Dependencies are what the mesh needs of its box.
+// Dependencies are what a Mesh needs from its box.
 type Dependencies struct {
 	Self  Identity
 	Clock clock.Clock
-	// PeriodMs is the time between two rounds of asks, in a fleet that is not large.
+	// PeriodMs is the time between two rounds unless the fleet is large.
 	PeriodMs clock.Millis
 	Conn     net.PacketConn
-	// Contacts are addresses to ask while few boxes are known.
+	// Contacts returns addresses to ping while few boxes are known.
 	Contacts func() []string
-	// Knowledge returns what this box knows now.
+	// Knowledge returns the current knowledge of this box.
 	Knowledge func() Knowledge
-	// InFlight returns what this box has running, by upstream.
+	// InFlight returns this box's requests in flight, by upstream.
 	InFlight func() map[namekey.Key]int
-	// Running returns how many requests this box runs, by pool. It is told in place of InFlight
-	// in a large fleet.
+	// Running returns this box's requests in flight, by pool. Large fleets exchange it instead of
+	// InFlight.
 	Running func() map[namekey.Key]int
-	// KeptSince returns what this box had engines read since a number, at most so
-	// much, and the number to go on from; LearnKept takes what other boxes had.
-	KeptSince func(from int64, most int) ([]prompt.Kept, int64)
+	// KeptSince returns the prompt parts that this box's requests put into engine caches from a
+	// sequence number on, up to a limit, and the sequence number to continue from. LearnKept
+	// receives the parts that other boxes report.
+	KeptSince func(from int64, limit int) ([]prompt.Kept, int64)
 	LearnKept func(list []prompt.Kept)
-	// EndingsSince returns this box's news of ended upstreams since a number, as KeptSince
-	// does; LearnEndings takes other boxes' news.
-	EndingsSince func(from int64, most int) ([]quarantine.Ending, int64)
+	// EndingsSince returns this box's reports of ended upstreams from a sequence number on, as
+	// KeptSince does. LearnEndings receives the reports of other boxes.
+	EndingsSince func(from int64, limit int) ([]quarantine.Ending, int64)
 	LearnEndings func(list []quarantine.Ending)
-	// Answered takes what another box knows; it must not block.
+	// Answered receives the knowledge of another box. It must not block.
 	Answered func(a Answer)
 	Random   *rand.Rand
 }
 
-// New returns a mesh of one box.
+// New returns the mesh member of one box.
 func New(d Dependencies) *Mesh {
 	return &Mesh{
 		self: d.Self, clock: d.Clock, period: d.PeriodMs, conn: d.Conn, contacts: d.Contacts, knowledge: d.Knowledge,
 		inFlight: d.InFlight, running: d.Running, ledger: occupancy.New(d.Clock.Steady),
-		kept: d.KeptSince, learnKept: d.LearnKept,
-		endings: d.EndingsSince, learnEnds: d.LearnEndings, answered: d.Answered,
+		cachedParts: d.KeptSince, learnCachedParts: d.LearnKept,
+		endings: d.EndingsSince, learnEndings: d.LearnEndings, onAnswer: d.Answered,
 		random: d.Random, peers: map[string]*peer{},
-		asks: placeAsks{next: d.Random.Uint32(), waiting: map[uint32]chan bool{}},
+		pendingSlots: slotRequests{nextNumber: d.Random.Uint32(), pending: map[uint32]chan bool{}},
 	}
 }
 
-// Run asks and answers until the context ends.
+// Run sends pings and answers messages until the context ends.
 func (m *Mesh) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(m.receive)
@@ -152,7 +156,7 @@
 			break
 		}
 	}
-	// Reading ends with the connection.
+	// Closing the connection ends the receive loop.
 	_ = m.conn.Close()
 	running.Wait()
 }
@@ -164,8 +168,8 @@
 		if err != nil {
 			return
 		}
-		if isPlaceMessage(buffer[:n]) {
-			m.handlePlace(buffer[:n], from)
+		if isSlotMessage(buffer[:n]) {
+			m.handleSlotMessage(buffer[:n], from)
 			continue
 		}
 		p, err := decode(buffer[:n])
@@ -179,31 +183,31 @@
 	}
 }
 
-// handle handles one datagram.
+// handle processes one datagram.
 func (m *Mesh) handle(p *packet, from net.Addr) {
-	if p.From.Box == m.self.Box || !m.complete(p) {
+	if p.From.Box == m.self.Box || !m.fillSender(p) {
 		return
 	}
-	m.record(p)
-	if len(p.Kept) > 0 {
-		m.learnKept(p.Kept)
+	m.recordPeer(p)
+	if len(p.CachedParts) > 0 {
+		m.learnCachedParts(p.CachedParts)
 	}
 	if len(p.Endings) > 0 {
-		m.learnEnds(p.Endings)
+		m.learnEndings(p.Endings)
 	}
 	switch p.Type {
 	case typePing:
-		m.send(from.String(), m.addressed(m.packet(typeReply, p.AskedMs), p.From.Box))
+		m.send(from.String(), m.forReceiver(m.packet(typeReply, p.AskedMs), p.From.Box))
 	case typeReply:
-		m.answered(Answer{From: p.From, Knowledge: p.Knowledge, AskedMs: p.AskedMs})
+		m.onAnswer(Answer{From: p.From, Knowledge: p.Knowledge, AskedMs: p.AskedMs})
 	case typeUpdate:
-		m.answered(Answer{From: p.From, Knowledge: p.Knowledge})
+		m.onAnswer(Answer{From: p.From, Knowledge: p.Knowledge})
 	}
 }
 
-// complete fills in what a reply leaves out of its sender, and reports whether the sender
-// is known. Asks name their sender in full, so one that is not will be.
-func (m *Mesh) complete(p *packet) bool {
+// fillSender completes the sender fields that a reply omits, and reports whether the sender is
+// known. Pings carry the full sender, so an unknown sender becomes known with its next ping.
+func (m *Mesh) fillSender(p *packet) bool {
 	if p.From.Address != "" {
 		return true
 	}
@@ -218,25 +222,25 @@
 	return true
 }
 
-// Ping asks other boxes now, beside the rounds.
+// Ping sends pings immediately, in addition to the periodic rounds.
 func (m *Mesh) Ping() { m.round() }
 
-// round asks this box's sources and a few other boxes.
+// round pings the store reader of the failure domain and a few other boxes.
 func (m *Mesh) round() {
 	now := m.clock.Steady()
 	p := m.packet(typePing, now)
 	for _, target := range m.targets(now) {
-		m.noteAsked(target.box)
-		m.send(target.address, m.addressed(p, target.box))
+		m.recordPing(target.box)
+		m.send(target.address, m.forReceiver(p, target.box))
 	}
 }
 
-// noteAsked counts an ask that the box has not answered yet.
-func (m *Mesh) noteAsked(box string) {
+// recordPing counts a ping that the box has not answered yet.
+func (m *Mesh) recordPing(box string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.peers[box]; p != nil {
-		p.unanswered++
+		p.unacked++
 	}
 }
 
@@ -246,91 +250,90 @@
 	defer m.mu.Unlock()
 	p.Leaving = m.leaving
 	if m.largeLocked() {
-		// Heard once in minutes, loads by upstream say nothing.
+		// Each box is heard from only once in minutes, so loads by upstream would be outdated.
 		p.InFlight, p.Running = nil, m.running()
 	}
 	return p
 }
 
-// addressed makes a datagram fit one receiver: it adds boxes that it may not know, and
-// parts that engines keep as far as it was not told, and leaves out who the sender is as
-// far as it knows. In a large fleet it is not told of parts: bytes bind there.
-func (m *Mesh) addressed(p *packet, box string) *packet {
+// forReceiver adapts a datagram to one receiver. It adds boxes that the receiver may not know and
+// cached prompt parts that it was not sent yet, and omits sender fields that the receiver knows. In
+// a large fleet it sends no cached parts, because bandwidth is the limit there.
+func (m *Mesh) forReceiver(p *packet, box string) *packet {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	with := *p
+	out := *p
 	receiver := m.peers[box]
 	switch {
-	case receiver == nil || m.clock.Steady()-receiver.firstMs < newcomerMs:
-		with.Known = m.sampleLocked(newcomerSample)
+	case receiver == nil || m.clock.Steady()-receiver.firstSeenMs < newPeerMs:
+		out.Known = m.samplePeersLocked(newPeerSample)
 	case p.Type == typeReply:
-		if m.random.IntN(settledOneIn) == 0 {
-			with.Known = m.sampleLocked(1)
+		if m.random.IntN(repliesPerSample) == 0 {
+			out.Known = m.samplePeersLocked(1)
 		}
-		with.From = Identity{Box: m.self.Box, Incarnation: m.self.Incarnation}
+		out.From = Identity{Box: m.self.Box, Incarnation: m.self.Incarnation}
 	}
 	if receiver != nil && !m.largeLocked() {
-		with.Kept, receiver.toldKept = m.kept(receiver.toldKept, maxKept)
+		out.CachedParts, receiver.sentCachedParts = m.cachedParts(receiver.sentCachedParts, maxCachedParts)
 	}
 	if receiver != nil {
-		m.addEndingsLocked(&with, receiver)
+		m.addEndingsLocked(&out, receiver)
 	}
-	return &with
+	return &out
 }
 
-// addEndingsLocked adds news of ended upstreams until the receiver says that it has heard
-// them: a lost datagram loses none.
+// addEndingsLocked adds reports of ended upstreams. They are sent again until the receiver
+// acknowledges them, so a lost datagram loses no report.
 func (m *Mesh) addEndingsLocked(p *packet, receiver *peer) {
-	most := maxEndings
+	limit := maxEndings
 	if m.largeLocked() {
-		most = maxEndingsLarge
+		limit = maxEndingsLarge
 	}
-	p.EndingsHeard = receiver.heardEndings
-	if list, to := m.endings(receiver.ackedEndings, most); len(list) > 0 {
-		p.Endings, p.EndingsTo = list, to
+	p.EndingsAcked = receiver.receivedEndings
+	if list, to := m.endings(receiver.ackedEndings, limit); len(list) > 0 {
+		p.Endings, p.EndingsNext = list, to
 	}
 }
 
-// send sends a datagram. One that can't be sent is as good as lost, and counted.
+// send sends a datagram. A failure is counted and otherwise treated like packet loss.
 func (m *Mesh) send(address string, p *packet) {
 	data, err := p.encode()
 	sent := 0
 	if err == nil {
 		sent, err = m.write(address, data)
 	}
-	m.noteSent(sent, err)
+	m.recordSent(sent, err)
 }
 
-func (m *Mesh) noteSent(sent int, err error) {
+func (m *Mesh) recordSent(sent int, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sentBytes += int64(sent)
 	if err != nil {
-		m.unsent++
+		m.sendErrors++
 	}
 }
 
 func (m *Mesh) write(address string, data []byte) (int, error) {
 	target, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return 0, fmt.Errorf("address of a box: %w", err)
+		return 0, fmt.Errorf("box address: %w", err)
 	}
 	return m.conn.WriteTo(data, net.UDPAddrFromAddrPort(target))
 }
 
-// Broadcast tells the other boxes of the failure domain that what this one knows has
-// changed.
+// Broadcast notifies the other boxes of the failure domain that this box's knowledge has changed.
 func (m *Mesh) Broadcast() {
 	m.broadcast(func(p *peer) bool { return p.FailureDomain == m.self.FailureDomain })
 }
 
-// BroadcastEndings tells all boxes at once that this one has news of ended upstreams. In a large
-// fleet they go from box to box with the rounds.
+// BroadcastEndings immediately sends new reports of ended upstreams to all boxes. In a large fleet
+// the reports spread with the rounds instead.
 func (m *Mesh) BroadcastEndings() {
 	m.broadcast(func(*peer) bool { return !m.largeLocked() })
 }
 
-// Leave tells all boxes that this one is about to stop. It goes on answering.
+// Leave notifies all boxes that this box is about to stop. The box continues to answer.
 func (m *Mesh) Leave() {
 	m.mu.Lock()
 	m.leaving = true
@@ -342,29 +345,29 @@
 	p := m.packet(typeUpdate, 0)
 	now := m.clock.Steady()
 	m.mu.Lock()
-	life := m.lifeLocked()
+	aliveTimeout := m.aliveTimeoutLocked()
 	targets := []target{}
 	for _, other := range m.peers {
-		if other.alive(now, life) && to(other) {
+		if other.alive(now, aliveTimeout) && to(other) {
 			targets = append(targets, target{box: other.Box, address: other.Address})
 		}
 	}
 	m.mu.Unlock()
 	for _, t := range targets {
-		m.send(t.address, m.addressed(p, t.box))
+		m.send(t.address, m.forReceiver(p, t.box))
 	}
 }
 
 // Sizes are counts for metrics.
 type Sizes struct {
-	Boxes     int   `json:"boxes"`
-	Ignored   int64 `json:"datagrams_ignored"`
-	Unsent    int64 `json:"datagrams_unsent"`
-	SentBytes int64 `json:"datagram_bytes_sent"`
-	// Places are those that this box counts as an owner, PlacesUnanswered its asks for some
-	// that no owner answered in time.
-	Places           occupancy.Sizes `json:"places"`
-	PlacesUnanswered int64           `json:"places_unanswered"`
+	Boxes      int   `json:"boxes"`
+	Ignored    int64 `json:"datagrams_ignored"`
+	SendErrors int64 `json:"datagrams_unsent"`
+	SentBytes  int64 `json:"datagram_bytes_sent"`
+	// Places are the slots that this box counts as an owner. SlotTimeouts counts this box's slot
+	// requests that no owner answered in time.
+	Places       occupancy.Sizes `json:"places"`
+	SlotTimeouts int64           `json:"places_unanswered"`
 }
 
 // Sizes returns counts for metrics.
@@ -372,7 +375,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return Sizes{
-		Boxes: 1 + m.aliveCount(m.clock.Steady()), Ignored: m.ignored, Unsent: m.unsent, SentBytes: m.sentBytes,
-		Places: m.ledger.Sizes(), PlacesUnanswered: m.unansweredPlaces,
+		Boxes: 1 + m.aliveCountLocked(m.clock.Steady()), Ignored: m.ignored,
+		SendErrors: m.sendErrors, SentBytes: m.sentBytes,
+		Places: m.ledger.Sizes(), SlotTimeouts: m.slotTimeouts,
 	}
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -27,20 +27,20 @@
 	inFlight  map[namekey.Key]int
 	answers   []Answer
 	kept      []prompt.Kept
-	learnt    []prompt.Kept
+	received  []prompt.Kept
 	stop      context.CancelFunc
 	ledger    *quarantine.Ledger
 }
 
-// newLedger holds a fingerprint back after three ends.
+// newLedger returns a ledger that quarantines a fingerprint after three endings.
 func newLedger() *quarantine.Ledger {
 	c := clock.New()
 	settings := quarantine.Settings{Ends: 3, HoldMs: 600 * clock.Second}
 	return quarantine.New(c.Steady, func() quarantine.Settings { return settings }, int64(c.Now()))
 }
 
-// holding is how many boxes hold a fingerprint back.
-func (f *fixture) holding(fingerprint quarantine.Fingerprint) int {
+// quarantining returns the number of boxes that quarantine a fingerprint.
+func (f *fixture) quarantining(fingerprint quarantine.Fingerprint) int {
 	count := 0
 	for _, b := range f.boxes {
 		if b.ledger.HeldMs(fingerprint) > 0 {
@@ -50,7 +50,7 @@
 	return count
 }
 
-// loads are requests in flight by the IDs of upstreams.
+// loads are the requests in flight by upstream ID.
 type loads map[string]int
 
 func (l loads) keyed() map[namekey.Key]int {
@@ -73,7 +73,7 @@
 	boxes   []*box
 }
 
-// start starts a box that knows only the first one's address.
+// start starts a box that knows only the address of the first box.
 func (f *fixture) start(domain string) *box {
 	f.t.Helper()
 	name := "box-" + strconv.Itoa(len(f.boxes))
@@ -104,16 +104,16 @@
 		},
 		EndingsSince: b.ledger.Since,
 		LearnEndings: func(list []quarantine.Ending) { b.ledger.Learn(list, b.Large()) },
-		KeptSince: func(from int64, most int) ([]prompt.Kept, int64) {
+		KeptSince: func(from int64, limit int) ([]prompt.Kept, int64) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			to := min(int64(len(b.kept)), from+int64(most))
+			to := min(int64(len(b.kept)), from+int64(limit))
 			return b.kept[from:to], to
 		},
 		LearnKept: func(list []prompt.Kept) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			b.learnt = append(b.learnt, list...)
+			b.received = append(b.received, list...)
 		},
 		Random: rand.New(rand.NewPCG(1, uint64(len(f.boxes)))),
 	})
@@ -125,7 +125,7 @@
 	return b
 }
 
-func bubble(t *testing.T, test func(f *fixture)) {
+func runInBubble(t *testing.T, test func(f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fixture{t: t, network: testlib.NewNetwork()}
@@ -137,13 +137,13 @@
 	})
 }
 
-// pass lets a span go by on the bubble's clock.
-func pass(t *testing.T, span time.Duration) {
+// advance waits until a span has passed on the fake clock of the synctest bubble.
+func advance(t *testing.T, span time.Duration) {
 	t.Helper()
 	require.NoError(t, clock.New().Sleep(t.Context(), clock.FromDuration(span)))
 }
 
-func (f *fixture) sources() []string {
+func (f *fixture) storeReaders() []string {
 	names := []string{}
 	for _, b := range f.boxes {
 		if b.IsSource() {
@@ -154,53 +154,53 @@
 }
 
 func TestMesh(t *testing.T) {
-	t.Run("boxes that know one contact come to know all", func(t *testing.T) {
-		bubble(t, func(f *fixture) {
+	t.Run("boxes that know one contact discover all others", func(t *testing.T) {
+		runInBubble(t, func(f *fixture) {
 			t := f.t
 			const boxes = 70
 			for range boxes {
 				f.start("d")
 			}
-			pass(f.t, 6*time.Second)
+			advance(f.t, 6*time.Second)
 			for range 10 {
-				pass(f.t, time.Second)
+				advance(f.t, time.Second)
 				for _, b := range f.boxes {
 					assert.Equal(t, boxes, b.Boxes(), b.self.Box)
 				}
 			}
 		})
 	})
-	t.Run("in each failure domain a few boxes read the store, and all agree which", func(t *testing.T) {
-		bubble(t, func(f *fixture) {
+	t.Run("boxes agree on the store readers of each failure domain", func(t *testing.T) {
+		runInBubble(t, func(f *fixture) {
 			t := f.t
 			for i := range 12 {
 				f.start("d" + strconv.Itoa(i%3))
 			}
-			pass(f.t, 3*time.Second)
-			assert.Len(t, f.sources(), 3*sources)
+			advance(f.t, 3*time.Second)
+			assert.Len(t, f.storeReaders(), 3*readersPerDomain)
 		})
 	})
-	t.Run("when a source falls silent another box takes over", func(t *testing.T) {
-		bubble(t, func(f *fixture) {
+	t.Run("another box replaces an unreachable store reader", func(t *testing.T) {
+		runInBubble(t, func(f *fixture) {
 			t := f.t
 			for range 5 {
 				f.start("d")
 			}
-			pass(f.t, 3*time.Second)
-			silent := f.sources()[0]
-			f.network.SetCut(func(from, to string) bool { return from == silent || to == silent })
-			pass(f.t, 4*time.Second)
-			assert.Len(t, f.sources(), sources+1, "the silent one still reads for itself")
+			advance(f.t, 3*time.Second)
+			isolated := f.storeReaders()[0]
+			f.network.SetCut(func(from, to string) bool { return from == isolated || to == isolated })
+			advance(f.t, 4*time.Second)
+			assert.Len(t, f.storeReaders(), readersPerDomain+1, "the unreachable box still reads for itself")
 		})
 	})
-	t.Run("some box of each failure domain is asked in each round, as long as one answers", func(t *testing.T) {
-		bubble(t, func(f *fixture) {
+	t.Run("each round pings a box of each failure domain that has live boxes", func(t *testing.T) {
+		runInBubble(t, func(f *fixture) {
 			t := f.t
 			first := f.start("d0")
 			for i := range 40 {
 				f.start("d" + strconv.Itoa(1+i/39))
 			}
-			pass(f.t, 6*time.Second)
+			advance(f.t, 6*time.Second)
 			asked := map[string]bool{}
 			for _, target := range first.targets(first.clock.Steady()) {
 				asked[first.peers[target.box].FailureDomain] = true
@@ -208,73 +208,73 @@
 			assert.Equal(t, map[string]bool{"d1": true, "d2": true}, asked)
 			assert.Equal(t, clock.Millis(250), first.AskEach()["d2"])
 			f.boxes[40].stop()
-			pass(f.t, 8*time.Second)
+			advance(f.t, 8*time.Second)
 			assert.Zero(t, first.AskEach()["d2"])
-			assert.Zero(t, first.AskEach()["d0"], "none but itself")
+			assert.Zero(t, first.AskEach()["d0"], "it has no other box")
 		})
 	})
-	t.Run("a box that leaves reads no more for others", func(t *testing.T) {
-		bubble(t, func(f *fixture) {
+	t.Run("a leaving box stops reading the store for others", func(t *testing.T) {
+		runInBubble(t, func(f *fixture) {
 			t := f.t
 			for range 3 {
 				f.start("d")
 			}
-			pass(f.t, 2*time.Second)
+			advance(f.t, 2*time.Second)
 			for _, b := range f.boxes {
 				if b.IsSource() {
 					b.Leave()
 					break
 				}
 			}
-			pass(f.t, time.Second)
-			assert.Len(t, f.sources(), sources+1, "the leaving one still reads for itself")
+			advance(f.t, time.Second)
+			assert.Len(t, f.storeReaders(), readersPerDomain+1, "the leaving box still reads for itself")
 		})
 	})
-	t.Run("what others have in flight is known, and forgotten once they are silent", func(t *testing.T) {
-		bubble(t, func(f *fixture) {
+	t.Run("requests in flight of other boxes are known until those boxes time out", func(t *testing.T) {
+		runInBubble(t, func(f *fixture) {
 			t := f.t
 			one, two, three := f.start("d"), f.start("d"), f.start("e")
 			two.setInFlight(loads{"u": 2})
 			three.setInFlight(loads{"u": 3, "v": 1})
-			pass(f.t, time.Second)
+			advance(f.t, time.Second)
 			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.Others())
 			three.Leave()
-			pass(f.t, time.Second)
-			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.Others(), "a box that leaves finishes what it has")
+			advance(f.t, time.Second)
+			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.Others(), "a leaving box finishes its requests")
 			three.stop()
-			pass(f.t, aliveMs.Duration())
+			advance(f.t, minAliveMs.Duration())
 			assert.Equal(t, loads{"u": 2}.keyed(), one.Others())
 		})
 	})
-	t.Run("what a box had engines read is told once to each other box", func(t *testing.T) {
-		bubble(t, func(f *fixture) {
+	t.Run("cached prompt parts are sent once to each other box", func(t *testing.T) {
+		runInBubble(t, func(f *fixture) {
 			t := f.t
 			one, two, three := f.start("d"), f.start("d"), f.start("e")
 			want := []prompt.Kept{}
-			for i := range 3 * maxKept {
+			for i := range 3 * maxCachedParts {
 				want = append(want, prompt.Kept{Part: namekey.Key(i), Upstream: 7})
 			}
 			one.mu.Lock()
 			one.kept = want
 			one.mu.Unlock()
-			pass(f.t, 4*time.Second)
+			advance(f.t, 4*time.Second)
 			for _, b := range []*box{two, three} {
 				b.mu.Lock()
-				assert.ElementsMatch(t, want, b.learnt)
+				assert.ElementsMatch(t, want, b.received)
 				b.mu.Unlock()
 			}
-			assert.Empty(t, one.learnt)
+			assert.Empty(t, one.received)
 		})
 	})
-	t.Run("an answer carries the instant at which it was asked for", func(t *testing.T) {
-		bubble(t, func(f *fixture) {
+	t.Run("an answer carries the time of its ping", func(t *testing.T) {
+		runInBubble(t, func(f *fixture) {
 			t := f.t
 			one, two := f.start("d"), f.start("d")
 			two.mu.Lock()
 			two.knowledge = Knowledge{Version: 7, AgeMs: 40}
 			two.mu.Unlock()
 			before := one.clock.Steady()
-			pass(f.t, time.Second)
+			advance(f.t, time.Second)
 			one.mu.Lock()
 			defer one.mu.Unlock()
 			require.NotEmpty(t, one.answers)
@@ -284,37 +284,37 @@
 			assert.LessOrEqual(t, last.AskedMs, one.clock.Steady())
 		})
 	})
-	t.Run("a reply of a box that is not known is ignored", func(t *testing.T) {
-		bubble(t, func(f *fixture) {
+	t.Run("a reply from an unknown box is ignored", func(t *testing.T) {
+		runInBubble(t, func(f *fixture) {
 			one := f.start("d")
-			one.handle(&packet{Type: typeReply, From: Identity{Box: "stranger"}, AskedMs: 1}, nil)
-			assert.Equal(t, Sizes{Boxes: 1, Ignored: 1, Unsent: one.Sizes().Unsent, SentBytes: one.Sizes().SentBytes}, one.Sizes())
+			one.handle(&packet{Type: typeReply, From: Identity{Box: "unknown"}, AskedMs: 1}, nil)
+			assert.Equal(t, Sizes{Boxes: 1, Ignored: 1, SendErrors: one.Sizes().SendErrors, SentBytes: one.Sizes().SentBytes}, one.Sizes())
 		})
 	})
-	t.Run("a box that starts again is known by its replies", func(t *testing.T) {
-		bubble(t, func(f *fixture) {
+	t.Run("a restarted box is known by its replies", func(t *testing.T) {
+		runInBubble(t, func(f *fixture) {
 			one, two := f.start("d"), f.start("d")
-			pass(f.t, 2*newcomerMs.Duration())
+			advance(f.t, 2*newPeerMs.Duration())
 			two.stop()
-			pass(f.t, time.Second)
+			advance(f.t, time.Second)
 			f.boxes = f.boxes[:1]
-			again := f.start("d")
-			pass(f.t, time.Second)
+			restarted := f.start("d")
+			advance(f.t, time.Second)
 			assert.Equal(t, 2, one.Boxes())
-			assert.Equal(t, 2, again.Boxes())
+			assert.Equal(t, 2, restarted.Boxes())
 		})
 	})
-	t.Run("a fifth of all datagrams lost removes nobody", func(t *testing.T) {
-		bubble(t, func(f *fixture) {
+	t.Run("losing a fifth of all datagrams removes no box", func(t *testing.T) {
+		runInBubble(t, func(f *fixture) {
 			t := f.t
 			random := rand.New(rand.NewPCG(1, 2))
 			f.network.SetLoss(func() bool { return random.IntN(5) == 0 })
 			for range 6 {
 				f.start("d")
 			}
-			pass(f.t, 3*time.Second)
+			advance(f.t, 3*time.Second)
 			for range 20 {
-				pass(f.t, time.Second)
+				advance(f.t, time.Second)
 				for _, b := range f.boxes {
 					assert.Equal(t, 6, b.Boxes())
 				}
@@ -326,29 +326,29 @@
 func TestDecode(t *testing.T) {
 	whole := Identity{Box: "a", FailureDomain: "d", Address: "127.0.0.1:1"}
 	for name, p := range map[string]packet{
-		"without a sender":            {Type: typePing},
-		"without the sender's domain": {Type: typePing, From: Identity{Box: "a", Address: "127.0.0.1:1"}},
-		"with a host by its name":     {Type: typePing, From: Identity{Box: "a", FailureDomain: "d", Address: "host:1"}},
-		"that names an empty box":     {Type: typePing, From: whole, Known: []Identity{{}}},
+		"without a sender":                {Type: typePing},
+		"without the sender's domain":     {Type: typePing, From: Identity{Box: "a", Address: "127.0.0.1:1"}},
+		"with a host name in the address": {Type: typePing, From: Identity{Box: "a", FailureDomain: "d", Address: "host:1"}},
+		"that names a box without fields": {Type: typePing, From: whole, Known: []Identity{{}}},
 	} {
-		t.Run("refuses a datagram "+name, func(t *testing.T) {
+		t.Run("rejects a datagram "+name, func(t *testing.T) {
 			data, err := p.encode()
 			require.NoError(t, err)
 			_, err = decode(data)
 			require.ErrorIs(t, err, ErrInvalid)
 		})
 	}
-	t.Run("refuses what is no datagram", func(t *testing.T) {
+	t.Run("rejects invalid CBOR", func(t *testing.T) {
 		_, err := decode([]byte("{"))
 		require.ErrorIs(t, err, ErrInvalid)
 	})
-	t.Run("takes a reply that names just its sender's box", func(t *testing.T) {
+	t.Run("accepts a reply with only its sender's box and incarnation", func(t *testing.T) {
 		data, err := (&packet{Type: typeReply, From: Identity{Box: "a", Incarnation: 1}}).encode()
 		require.NoError(t, err)
 		_, err = decode(data)
 		require.NoError(t, err)
 	})
-	t.Run("takes what it encodes", func(t *testing.T) {
+	t.Run("decodes what it encodes", func(t *testing.T) {
 		p := packet{Type: typeReply, From: whole, AskedMs: 7, Knowledge: Knowledge{Version: 3, AgeMs: -1}, InFlight: loads{"u": 2}.keyed()}
 		data, err := p.encode()
 		require.NoError(t, err)
--- a/internal/mesh/packet.go
+++ b/internal/mesh/packet.go
@@ -1,6 +1,6 @@
-// Package mesh is how the boxes of a fleet know each other: small datagrams that
-// carry who is there, what each has in flight, and how fresh the routing state
-// of each is. Nothing depends on every box hearing every other one.
+// Package mesh implements the gossip protocol between the boxes of a fleet. Boxes exchange small
+// datagrams with their liveness, their requests in flight and the freshness of their routing state.
+// No part depends on every box hearing from every other one.
 package mesh
 
 import (
@@ -17,44 +17,44 @@
 	"dooryard.example/dooryard/internal/quarantine"
 )
 
-// ErrInvalid marks a datagram that can't be used.
+// ErrInvalid is returned for a datagram that can't be decoded or fails validation.
 var ErrInvalid = errors.New("invalid datagram")
 
-// Identity is who a box is.
+// Identity identifies a box.
 type Identity struct {
 	Box           string `cbor:"1,keyasint"`
 	FailureDomain string `cbor:"2,keyasint"`
-	// Address is the box's address for other boxes, of datagrams and of calls.
+	// Address is where other boxes reach this one, both for datagrams and for HTTP calls.
 	Address string `cbor:"3,keyasint"`
-	// Incarnation grows with each start of the box.
+	// Incarnation increases with each start of the box.
 	Incarnation int64 `cbor:"4,keyasint"`
 }
 
-// Knowledge is what a box knows at an instant.
+// Knowledge is the state of a box at one instant.
 type Knowledge struct {
-	// Version is that of the routing state in force, 0 for none.
+	// Version is the version of the active routing state, or 0 if there is none.
 	Version int64 `cbor:"1,keyasint" json:"version"`
-	// Position is that of the newest change of the upstreams.
+	// Position is the position of the newest change to the upstreams.
 	Position position.Position `cbor:"6,keyasint" json:"position"`
-	// AgeMs is how long ago Version was proved to be the newest, below 0 if
-	// never.
+	// AgeMs is the time since Version was last confirmed as the newest, or negative if it never
+	// was.
 	AgeMs clock.Millis `cbor:"3,keyasint" json:"age_ms"`
 	// StoreLost is set while the box can't read its store.
 	StoreLost bool `cbor:"4,keyasint,omitempty" json:"store_lost"`
-	// Era is that of the store's answer which proved Version.
+	// Era is the store era of the response that confirmed Version.
 	Era int64 `cbor:"5,keyasint,omitempty" json:"era"`
 }
 
-// packetType tells datagrams apart.
+// packetType distinguishes the kinds of datagrams.
 type packetType uint8
 
 // Types of datagrams.
 const (
-	// typePing wants a reply.
+	// typePing requests a reply.
 	typePing packetType = 1
-	// typeReply answers a ping and returns its time.
+	// typeReply answers a ping and echoes its AskedMs.
 	typeReply packetType = 2
-	// typeUpdate says that the sender's knowledge has changed.
+	// typeUpdate announces that the sender's knowledge has changed.
 	typeUpdate packetType = 3
 )
 
@@ -62,31 +62,31 @@
 type packet struct {
 	Type packetType `cbor:"1,keyasint"`
 	From Identity   `cbor:"2,keyasint"`
-	// AskedMs is the asker's own steady instant, returned in the reply.
+	// AskedMs is the time of the ping on the sender's monotonic clock. The reply echoes it.
 	AskedMs   clock.Millis `cbor:"3,keyasint,omitempty"`
 	Knowledge Knowledge    `cbor:"4,keyasint"`
-	// InFlight is what the sender has running, by upstream.
+	// InFlight is the sender's requests in flight, by upstream.
 	InFlight map[namekey.Key]int `cbor:"5,keyasint,omitempty"`
 	// Leaving is set once the sender is about to stop.
 	Leaving bool `cbor:"6,keyasint,omitempty"`
-	// Known are a few other boxes.
+	// Known names a few other boxes.
 	Known []Identity `cbor:"7,keyasint,omitempty"`
-	// Kept are parts of prompts that the sender had engines read, as far as it has
-	// not told this receiver yet.
-	Kept []prompt.Kept `cbor:"8,keyasint,omitempty"`
-	// Endings are news of the sender about upstreams that ended, which the receiver has not
-	// said to have heard; EndingsTo is the number that follows them.
-	Endings   []quarantine.Ending `cbor:"9,keyasint,omitempty"`
-	EndingsTo int64               `cbor:"10,keyasint,omitempty"`
-	// EndingsHeard is up to which number the sender has heard the receiver's.
-	EndingsHeard int64 `cbor:"11,keyasint,omitempty"`
-	// Running is how many requests the sender runs, by pool, in a large fleet; there InFlight
-	// is left out.
+	// CachedParts are prompt parts that the sender's requests put into engine caches and that it
+	// has not sent to this receiver yet.
+	CachedParts []prompt.Kept `cbor:"8,keyasint,omitempty"`
+	// Endings are the sender's reports of ended upstreams that the receiver has not acknowledged.
+	// EndingsNext is the sequence number that follows them.
+	Endings     []quarantine.Ending `cbor:"9,keyasint,omitempty"`
+	EndingsNext int64               `cbor:"10,keyasint,omitempty"`
+	// EndingsAcked acknowledges the receiver's reports up to this sequence number.
+	EndingsAcked int64 `cbor:"11,keyasint,omitempty"`
+	// Running is the sender's requests in flight, by pool. A large fleet uses it instead of
+	// InFlight.
 	Running map[namekey.Key]int `cbor:"12,keyasint,omitempty"`
 }
 
-// maxPacketBytes keeps a datagram from being cut into pieces on usual links, as
-// far as its content allows.
+// maxPacketBytes is the size of the receive buffer. Datagrams are kept small enough not to be
+// fragmented on common links, as far as their content allows.
 const maxPacketBytes = 8 << 10
 
 func (p *packet) encode() ([]byte, error) {
@@ -97,7 +97,7 @@
 	return data, nil
 }
 
-// decode reads a datagram and checks it.
+// decode decodes and validates a datagram.
 func decode(data []byte) (*packet, error) {
 	var p packet
 	if err := cbor.Unmarshal(data, &p); err != nil {
@@ -114,7 +114,7 @@
 	return &p, nil
 }
 
-// checkFrom checks the sender. A reply may name just the box and its incarnation.
+// checkFrom validates the sender. A reply may carry only the sender's box and incarnation.
 func (p *packet) checkFrom() error {
 	if p.Type == typeReply && p.From.Box != "" && p.From.FailureDomain == "" && p.From.Address == "" {
 		return nil
@@ -124,7 +124,7 @@
 
 func (i Identity) check() error {
 	if i.Box == "" || i.FailureDomain == "" {
-		return fmt.Errorf("%w: box and failure domain are needed", ErrInvalid)
+		return fmt.Errorf("%w: box and failure domain are required", ErrInvalid)
 	}
 	if _, err := netip.ParseAddrPort(i.Address); err != nil {
 		return fmt.Errorf("%w: address: %w", ErrInvalid, err)
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -10,29 +10,29 @@
 	"dooryard.example/dooryard/internal/route"
 )
 
-// peer is another box as this one knows it.
+// peer is this box's view of another box.
 type peer struct {
 	Identity
-	heardMs clock.Millis
-	// firstMs is when this incarnation was first heard.
-	firstMs   clock.Millis
-	knowledge Knowledge
-	inFlight  map[namekey.Key]int
-	running   map[namekey.Key]int
-	leaving   bool
-	// unanswered is how many asks were sent since it was last heard.
-	unanswered int
-	// toldKept is the number from which on it was not told yet of parts that engines
-	// keep.
-	toldKept int64
-	// heardEndings is up to which number this box has heard its news of ended upstreams,
-	// and ackedEndings up to which it has said to have heard this box's.
-	heardEndings int64
-	ackedEndings int64
+	lastSeenMs clock.Millis
+	// firstSeenMs is when this incarnation sent its first message, or 0 if it has sent none.
+	firstSeenMs clock.Millis
+	knowledge   Knowledge
+	inFlight    map[namekey.Key]int
+	running     map[namekey.Key]int
+	leaving     bool
+	// unacked is the number of pings sent since the box's last message.
+	unacked int
+	// sentCachedParts is the sequence number of the next cached prompt part to send to the box.
+	sentCachedParts int64
+	// receivedEndings is the sequence number up to which this box has received the peer's reports
+	// of ended upstreams. ackedEndings is the one up to which the peer has acknowledged this box's
+	// reports.
+	receivedEndings int64
+	ackedEndings    int64
 }
 
-// record notes the sender and the boxes that it names.
-func (m *Mesh) record(p *packet) {
+// recordPeer stores the sender of a datagram and the boxes that it names.
+func (m *Mesh) recordPeer(p *packet) {
 	now := m.clock.Steady()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,32 +40,32 @@
 	if known != nil && known.Incarnation > p.From.Incarnation {
 		return
 	}
-	heard := &peer{
-		Identity: p.From, heardMs: now, firstMs: now, knowledge: p.Knowledge, inFlight: p.InFlight,
+	updated := &peer{
+		Identity: p.From, lastSeenMs: now, firstSeenMs: now, knowledge: p.Knowledge, inFlight: p.InFlight,
 		running: p.Running, leaving: p.Leaving,
 	}
-	if known != nil && known.Incarnation == p.From.Incarnation && known.firstMs > 0 {
-		heard.firstMs, heard.toldKept = known.firstMs, known.toldKept
-		heard.heardEndings, heard.ackedEndings = known.heardEndings, known.ackedEndings
+	if known != nil && known.Incarnation == p.From.Incarnation && known.firstSeenMs > 0 {
+		updated.firstSeenMs, updated.sentCachedParts = known.firstSeenMs, known.sentCachedParts
+		updated.receivedEndings, updated.ackedEndings = known.receivedEndings, known.ackedEndings
 	}
-	heard.heardEndings = max(heard.heardEndings, p.EndingsTo)
-	heard.ackedEndings = max(heard.ackedEndings, p.EndingsHeard)
-	if known == nil || known.firstMs == 0 {
-		m.heard++
+	updated.receivedEndings = max(updated.receivedEndings, p.EndingsNext)
+	updated.ackedEndings = max(updated.ackedEndings, p.EndingsAcked)
+	if known == nil || known.firstSeenMs == 0 {
+		m.directPeers++
 	}
-	m.peers[p.From.Box] = heard
+	m.peers[p.From.Box] = updated
 	for _, other := range p.Known {
 		if other.Box != m.self.Box && m.peers[other.Box] == nil {
-			// Named only: it counts as there once it was heard itself.
-			m.peers[other.Box] = &peer{Identity: other, heardMs: now}
+			// A box that was only named counts as alive once it sends a message itself.
+			m.peers[other.Box] = &peer{Identity: other, lastSeenMs: now}
 		}
 	}
 }
 
-// target is a box that is asked; its name is empty when only its address is known.
+// target is a box to ping. Its name is empty when only its address is known.
 type target struct{ box, address string }
 
-// targets are the boxes of one round.
+// targets returns the boxes to ping in one round.
 func (m *Mesh) targets(now clock.Millis) []target {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -76,21 +76,21 @@
 			targets = append(targets, target{box: box, address: address})
 		}
 	}
-	for _, source := range m.sourcesLocked(now) {
-		add(source.Box, source.Address)
+	for _, reader := range m.storeReadersLocked(now) {
+		add(reader.Box, reader.Address)
 	}
 	m.forgetLocked(now)
 	for range m.fanoutLocked() {
-		if p := m.nextLocked(); p != nil {
+		if p := m.nextPeerLocked(); p != nil {
 			add(p.Box, p.Address)
 		}
 	}
 	if !m.largeLocked() {
-		for _, p := range m.unaskedDomainsLocked(now, targets) {
+		for _, p := range m.uncoveredDomainPeersLocked(now, targets) {
 			add(p.Box, p.Address)
 		}
 	}
-	if m.aliveCount(now) < minFanout {
+	if m.aliveCountLocked(now) < minFanout {
 		for _, contact := range m.contacts() {
 			add("", contact)
 		}
@@ -98,69 +98,70 @@
 	return targets
 }
 
-// unaskedDomainsLocked returns a box of each failure domain that no target is of, so that
-// each domain gives a sign of life in each round.
-func (m *Mesh) unaskedDomainsLocked(now clock.Millis, targets []target) []*peer {
-	asked := map[string]bool{}
+// uncoveredDomainPeersLocked returns one box of each failure domain that has no box among the
+// targets, so that each domain shows in each round whether it is alive.
+func (m *Mesh) uncoveredDomainPeersLocked(now clock.Millis, targets []target) []*peer {
+	covered := map[string]bool{}
 	for _, t := range targets {
-		if p := m.peers[t.box]; p != nil && p.alive(now, m.lifeLocked()) {
-			asked[p.FailureDomain] = true
+		if p := m.peers[t.box]; p != nil && p.alive(now, m.aliveTimeoutLocked()) {
+			covered[p.FailureDomain] = true
 		}
 	}
 	found := []*peer{}
 	for _, p := range m.peers {
-		if !asked[p.FailureDomain] && p.alive(now, m.lifeLocked()) {
-			asked[p.FailureDomain] = true
+		if !covered[p.FailureDomain] && p.alive(now, m.aliveTimeoutLocked()) {
+			covered[p.FailureDomain] = true
 			found = append(found, p)
 		}
 	}
 	return found
 }
 
-// AskEach is how often some box of a failure domain is asked, by domain. Domains in which no
-// box answers are left out, and in a large fleet, whose rounds reach a few boxes only, all.
+// AskEach returns the interval at which at least one box of a failure domain is pinged, by domain.
+// It omits domains without a live box. It is empty in a large fleet, whose rounds reach only a few
+// boxes.
 func (m *Mesh) AskEach() map[string]clock.Millis {
 	now := m.clock.Steady()
-	asked := map[string]clock.Millis{}
+	intervals := map[string]clock.Millis{}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.largeLocked() {
-		return asked
+		return intervals
 	}
-	life := m.lifeLocked()
+	aliveTimeout := m.aliveTimeoutLocked()
 	for _, p := range m.peers {
-		if p.alive(now, life) {
-			asked[p.FailureDomain] = m.period
+		if p.alive(now, aliveTimeout) {
+			intervals[p.FailureDomain] = m.period
 		}
 	}
-	return asked
+	return intervals
 }
 
-// forgetLocked drops boxes that were silent for long.
+// forgetLocked removes boxes that have been silent for too long.
 func (m *Mesh) forgetLocked(now clock.Millis) {
-	after := max(forgetMs, m.lifeLocked())
+	after := max(forgetAfterMs, m.aliveTimeoutLocked())
 	for box, p := range m.peers {
-		if now-p.heardMs > after {
+		if now-p.lastSeenMs > after {
 			delete(m.peers, box)
-			if p.firstMs > 0 {
-				m.heard--
+			if p.firstSeenMs > 0 {
+				m.directPeers--
 			}
 		}
 	}
 }
 
-// nextLocked returns the next box to ask. Each is asked once in a cycle, in an
-// order of its own.
-func (m *Mesh) nextLocked() *peer {
-	if len(m.order) == 0 {
-		m.order = slices.Sorted(maps.Keys(m.peers))
-		m.random.Shuffle(len(m.order), func(i, j int) { m.order[i], m.order[j] = m.order[j], m.order[i] })
-	}
-	if len(m.order) == 0 {
+// nextPeerLocked returns the next box to ping. Each box is pinged once per cycle, in an order that
+// this box shuffles anew.
+func (m *Mesh) nextPeerLocked() *peer {
+	if len(m.toPing) == 0 {
+		m.toPing = slices.Sorted(maps.Keys(m.peers))
+		m.random.Shuffle(len(m.toPing), func(i, j int) { m.toPing[i], m.toPing[j] = m.toPing[j], m.toPing[i] })
+	}
+	if len(m.toPing) == 0 {
 		return nil
 	}
-	next := m.order[0]
-	m.order = m.order[1:]
+	next := m.toPing[0]
+	m.toPing = m.toPing[1:]
 	return m.peers[next]
 }
 
@@ -185,68 +186,69 @@
 	return m.period
 }
 
-// lifeLocked returns how long a box counts as there after it was last heard.
-func (m *Mesh) lifeLocked() clock.Millis {
+// aliveTimeoutLocked returns how long a box counts as alive after its last message.
+func (m *Mesh) aliveTimeoutLocked() clock.Millis {
 	fanout := m.fanoutLocked()
 	cycle := clock.Millis((len(m.peers)+fanout-1)/fanout) * m.periodLocked()
-	return max(aliveMs, aliveCycles*cycle)
+	return max(minAliveMs, aliveCycles*cycle)
 }
 
-func (m *Mesh) aliveCount(now clock.Millis) int {
+func (m *Mesh) aliveCountLocked(now clock.Millis) int {
 	count := 0
-	life := m.lifeLocked()
+	aliveTimeout := m.aliveTimeoutLocked()
 	for _, p := range m.peers {
-		if p.alive(now, life) {
+		if p.alive(now, aliveTimeout) {
 			count++
 		}
 	}
 	return count
 }
 
-// alive reports whether the box is there to stay.
-func (p *peer) alive(now, life clock.Millis) bool {
-	return p.firstMs > 0 && !p.leaving && now-p.heardMs < life
+// alive reports whether the box is alive and not leaving.
+func (p *peer) alive(now, aliveTimeout clock.Millis) bool {
+	return p.firstSeenMs > 0 && !p.leaving && now-p.lastSeenMs < aliveTimeout
 }
 
-// sampleLocked returns a few boxes that are there. In a large fleet half of them are owners of
-// upstreams, which all boxes have to know soon.
-func (m *Mesh) sampleLocked(count int) []Identity {
+// samplePeersLocked returns a few live boxes. In a large fleet half of them are owners of
+// upstreams, which all boxes have to discover soon.
+func (m *Mesh) samplePeersLocked(count int) []Identity {
 	known := []Identity{}
 	if m.largeLocked() {
-		known = m.drawOwnersLocked((count + 1) / 2)
+		known = m.sampleOwnersLocked((count + 1) / 2)
 	}
-	now, life := m.clock.Steady(), m.lifeLocked()
+	now, aliveTimeout := m.clock.Steady(), m.aliveTimeoutLocked()
 	for _, p := range m.peers {
 		if len(known) == count {
 			break
 		}
-		if p.alive(now, life) {
+		if p.alive(now, aliveTimeout) {
 			known = append(known, p.Identity)
 		}
 	}
 	return known
 }
 
-// Large reports whether the fleet is so large that a box tells and asks a few others only.
+// Large reports whether the fleet is so large that each box exchanges messages with only a few
+// others.
 func (m *Mesh) Large() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.largeLocked()
 }
 
-// largeLocked reports whether the fleet is so large that bytes bind.
-func (m *Mesh) largeLocked() bool { return m.heard > largeFleet }
+// largeLocked reports whether the fleet is so large that bandwidth is the limit.
+func (m *Mesh) largeLocked() bool { return m.directPeers > largeFleetBoxes }
 
-// Others returns what the other boxes have in flight, by upstream.
+// Others returns the requests in flight of the other boxes, by upstream.
 func (m *Mesh) Others() map[namekey.Key]int {
 	now := m.clock.Steady()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sum := map[namekey.Key]int{}
-	life := m.lifeLocked()
+	aliveTimeout := m.aliveTimeoutLocked()
 	for _, p := range m.peers {
-		// A box that leaves still runs what it has.
-		if now-p.heardMs >= life {
+		// A leaving box still runs its requests in flight.
+		if now-p.lastSeenMs >= aliveTimeout {
 			continue
 		}
 		for id, count := range p.inFlight {
@@ -256,16 +258,16 @@
 	return sum
 }
 
-// Spans over which what boxes told of their requests is averaged: some forty boxes are heard in the
-// longer one, and a dozen in the shorter one, which follows a surge.
+// Windows over which reported request counts are averaged. About forty boxes report within the
+// longer window and a dozen within the shorter one, which follows a surge.
 const (
-	recentMs clock.Millis = 5000
-	surgeMs  clock.Millis = 1500
+	longWindowMs  clock.Millis = 5000
+	shortWindowMs clock.Millis = 1500
 )
 
-// Running returns how many requests all boxes run, by pool, from those that were heard lately: the
-// larger of two averages, since a bound that lags behind a surge turns requests away from engines
-// that have room. It is nil unless the fleet is large.
+// Running returns the estimated requests in flight of the whole fleet, by pool, or nil unless the
+// fleet is large. It extrapolates recent reports and takes the larger of two averages, because a
+// bound that lags behind a surge rejects requests for engines that have capacity.
 func (m *Mesh) Running() map[namekey.Key]int {
 	own := m.running()
 	m.mu.Lock()
@@ -273,133 +275,132 @@
 	if !m.largeLocked() {
 		return nil
 	}
-	all := m.runningLocked(own, recentMs)
-	for pool, count := range m.runningLocked(own, surgeMs) {
+	all := m.runningLocked(own, longWindowMs)
+	for pool, count := range m.runningLocked(own, shortWindowMs) {
 		all[pool] = max(all[pool], count)
 	}
 	return all
 }
 
-// runningLocked extrapolates from this box and those that were heard within a span to all that are
-// known.
-func (m *Mesh) runningLocked(own map[namekey.Key]int, span clock.Millis) map[namekey.Key]int {
+// runningLocked extrapolates from this box and those that reported within the window to all known
+// boxes.
+func (m *Mesh) runningLocked(own map[namekey.Key]int, window clock.Millis) map[namekey.Key]int {
 	sums := maps.Clone(own)
 	now := m.clock.Steady()
-	heard, boxes := 1, 1
+	reporting, boxes := 1, 1
 	for _, p := range m.peers {
 		if !p.leaving {
 			boxes++
 		}
-		if p.firstMs == 0 || now-p.heardMs >= span {
+		if p.firstSeenMs == 0 || now-p.lastSeenMs >= window {
 			continue
 		}
-		heard++
+		reporting++
 		for pool, count := range p.running {
 			sums[pool] += count
 		}
 	}
 	for pool, count := range sums {
-		sums[pool] = (count*boxes + heard/2) / heard
+		sums[pool] = (count*boxes + reporting/2) / reporting
 	}
 	return sums
 }
 
-// OthersAgeMs is how old, on average, what Others returns is. In a large fleet boxes don't tell
-// their loads, and it is as old as can be.
+// OthersAgeMs returns the average age of the counts that Others returns. In a large fleet boxes
+// don't exchange loads by upstream, so it returns the maximum age.
 func (m *Mesh) OthersAgeMs() clock.Millis {
 	now := m.clock.Steady()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	life := m.lifeLocked()
+	aliveTimeout := m.aliveTimeoutLocked()
 	if m.largeLocked() {
-		return life
+		return aliveTimeout
 	}
 	sum, count := clock.Millis(0), clock.Millis(0)
 	for _, p := range m.peers {
-		if p.firstMs > 0 && now-p.heardMs < life {
-			sum += now - p.heardMs
+		if p.firstSeenMs > 0 && now-p.lastSeenMs < aliveTimeout {
+			sum += now - p.lastSeenMs
 			count++
 		}
 	}
 	return sum / max(1, count)
 }
 
-// Resumed is to be called when this box has stood still for a span: that nobody was heard
-// meanwhile says nothing of the others.
-func (m *Mesh) Resumed(span clock.Millis) {
+// Resumed must be called after this process was paused. It extends the liveness deadlines of the
+// other boxes, because their silence during the pause says nothing about them.
+func (m *Mesh) Resumed(pause clock.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
-		p.heardMs += span
+		p.lastSeenMs += pause
 	}
 }
 
-// Missing reports whether a box that was there a short while ago is not heard now and did
-// not say that it leaves.
+// Missing reports whether a recently live box is silent without having announced that it leaves.
 func (m *Mesh) Missing() bool {
 	now := m.clock.Steady()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	life := m.lifeLocked()
+	aliveTimeout := m.aliveTimeoutLocked()
 	for _, p := range m.peers {
-		if p.firstMs > 0 && !p.leaving && now-p.heardMs >= life {
+		if p.firstSeenMs > 0 && !p.leaving && now-p.lastSeenMs >= aliveTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// Boxes returns how many boxes are there, this one included.
+// Boxes returns the number of live boxes, including this one.
 func (m *Mesh) Boxes() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return 1 + m.aliveCount(m.clock.Steady())
+	return 1 + m.aliveCountLocked(m.clock.Steady())
 }
 
-// IsSource reports whether this box is one that reads the store for its failure
-// domain, as far as it knows.
+// IsSource reports whether this box, according to its own view, reads the store on behalf of its
+// failure domain.
 func (m *Mesh) IsSource() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, source := range m.sourcesLocked(m.clock.Steady()) {
-		if source.Box == m.self.Box {
+	for _, reader := range m.storeReadersLocked(m.clock.Steady()) {
+		if reader.Box == m.self.Box {
 			return true
 		}
 	}
 	return false
 }
 
-// maxUnanswered is how many asks in a row a source may leave without an answer: two datagrams may be
-// lost.
-const maxUnanswered = 3
+// maxUnacked is the number of consecutive unanswered pings at which a store reader counts
+// as unresponsive. It tolerates two lost datagrams.
+const maxUnacked = 3
 
-// silentLocked reports whether a box of a large fleet, where one counts as there for minutes, answers no
-// asks.
-func (m *Mesh) silentLocked(p *peer) bool { return m.largeLocked() && p.unanswered >= maxUnanswered }
+// unresponsiveLocked reports whether a box of a large fleet answers no pings. In such a fleet a box
+// counts as alive for minutes, so the alive timeout alone would be too slow.
+func (m *Mesh) unresponsiveLocked(p *peer) bool { return m.largeLocked() && p.unacked >= maxUnacked }
 
-// sourcesLocked are the first boxes of this failure domain by the hash of their
-// names, among those that are there and can read the store; among all, when none
-// of them can.
-func (m *Mesh) sourcesLocked(now clock.Millis) []Identity {
-	all, able := []Identity{m.self}, []Identity{}
+// storeReadersLocked returns the first boxes of this failure domain in the order of their name
+// hashes, among the live boxes that can read the store. If none of them can, it chooses among all
+// live boxes.
+func (m *Mesh) storeReadersLocked(now clock.Millis) []Identity {
+	all, reachable := []Identity{m.self}, []Identity{}
 	if !m.knowledge().StoreLost {
-		able = append(able, m.self)
+		reachable = append(reachable, m.self)
 	}
-	life := m.lifeLocked()
+	aliveTimeout := m.aliveTimeoutLocked()
 	for _, p := range m.peers {
-		if !p.alive(now, life) || p.FailureDomain != m.self.FailureDomain || m.silentLocked(p) {
+		if !p.alive(now, aliveTimeout) || p.FailureDomain != m.self.FailureDomain || m.unresponsiveLocked(p) {
 			continue
 		}
 		all = append(all, p.Identity)
 		if !p.knowledge.StoreLost {
-			able = append(able, p.Identity)
+			reachable = append(reachable, p.Identity)
 		}
 	}
-	if len(able) == 0 {
-		able = all
+	if len(reachable) == 0 {
+		reachable = all
 	}
-	slices.SortFunc(able, func(a, b Identity) int {
+	slices.SortFunc(reachable, func(a, b Identity) int {
 		return cmp.Or(cmp.Compare(route.HashName(a.Box), route.HashName(b.Box)), cmp.Compare(a.Box, b.Box))
 	})
-	return able[:min(sources, len(able))]
+	return reachable[:min(readersPerDomain, len(reachable))]
 }
--- a/internal/mesh/places.go
+++ b/internal/mesh/places.go
@@ -17,88 +17,91 @@
 )
 
 // In a large fleet each upstream has an owner among the boxes of its failure domain, which counts
-// the requests that all boxes have there. Boxes whose views of the fleet differ ask different
-// owners; each then counts a part, and the bound is looser for that long.
+// the requests that all boxes have in flight there. Boxes whose views of the fleet differ ask
+// different owners. Each owner then counts only a part of the requests, and the bound is looser
+// until the views agree.
 
-// placeWaitMs is how long a box waits for an owner's answer: many round trips between failure
-// domains, and little of what a caller waits.
-const placeWaitMs clock.Millis = 20
+// slotTimeoutMs is how long a box waits for an owner's answer. It covers many round trips between
+// failure domains and is small compared to the time that a caller waits.
+const slotTimeoutMs clock.Millis = 20
 
-// placeKind tells messages about places apart.
-type placeKind uint8
+// slotMessageKind distinguishes slot messages.
+type slotMessageKind uint8
 
 const (
-	// placeAsk wants a place at an upstream under a bound.
-	placeAsk placeKind = 1
-	// placeGranted and placeRefused answer an ask.
-	placeGranted placeKind = 2
-	placeRefused placeKind = 3
-	// placeDone gives a place back.
-	placeDone placeKind = 4
+	// slotAcquire requests a slot at an upstream, subject to a bound.
+	slotAcquire slotMessageKind = 1
+	// slotGranted and slotDenied answer a slotAcquire message.
+	slotGranted slotMessageKind = 2
+	slotDenied  slotMessageKind = 3
+	// slotRelease releases a slot.
+	slotRelease slotMessageKind = 4
 )
 
-// placeMessage is one datagram about a place.
-type placeMessage struct {
+// slotMessage is one datagram about a slot.
+type slotMessage struct {
 	_    struct{} `cbor:",toarray"`
-	Kind placeKind
-	// Number is the asker's own.
+	Kind slotMessageKind
+	// Number is the request number that the requesting box chose.
 	Number   uint32
 	Upstream namekey.Key
 	Bound    int
 }
 
-// cborArray is the first byte's major type of an encoded array; other datagrams are maps.
+// cborArray is the major type of an encoded array, found in the first byte. Slot messages are
+// arrays and all other datagrams are maps.
 const cborArray = 0x80
 
 const cborMajorMask = 0xe0
 
-func isPlaceMessage(data []byte) bool { return len(data) > 0 && data[0]&cborMajorMask == cborArray }
+func isSlotMessage(data []byte) bool { return len(data) > 0 && data[0]&cborMajorMask == cborArray }
 
-func decodePlace(data []byte) (placeMessage, error) {
-	var p placeMessage
+func decodeSlotMessage(data []byte) (slotMessage, error) {
+	var p slotMessage
 	if err := cbor.Unmarshal(data, &p); err != nil {
 		return p, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
-	if p.Kind < placeAsk || p.Kind > placeDone || p.Bound < 0 {
-		return p, fmt.Errorf("%w: place: kind %d, bound %d", ErrInvalid, p.Kind, p.Bound)
+	if p.Kind < slotAcquire || p.Kind > slotRelease || p.Bound < 0 {
+		return p, fmt.Errorf("%w: slot message: kind %d, bound %d", ErrInvalid, p.Kind, p.Bound)
 	}
 	return p, nil
 }
 
-// placeAsks are a box's asks for places that wait for an answer.
-type placeAsks struct {
-	mu      sync.Mutex
-	next    uint32
-	waiting map[uint32]chan bool
+// slotRequests are this box's slot requests that wait for an answer.
+type slotRequests struct {
+	mu         sync.Mutex
+	nextNumber uint32
+	pending    map[uint32]chan bool
 }
 
-func (a *placeAsks) begin() (number uint32, answer chan bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.next++
+func (r *slotRequests) start() (number uint32, answer chan bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.nextNumber++
 	answer = make(chan bool, 1)
-	a.waiting[a.next] = answer
-	return a.next, answer
+	r.pending[r.nextNumber] = answer
+	return r.nextNumber, answer
 }
 
-func (a *placeAsks) end(number uint32) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	delete(a.waiting, number)
+func (r *slotRequests) finish(number uint32) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.pending, number)
 }
 
-// answered hands an answer to whoever waits for it; one that came late goes to nobody.
-func (a *placeAsks) answered(number uint32, granted bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if answer := a.waiting[number]; answer != nil {
+// resolve delivers an answer to the waiting request. Late answers are discarded.
+func (r *slotRequests) resolve(number uint32, granted bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if answer := r.pending[number]; answer != nil {
 		answer <- granted
-		delete(a.waiting, number)
+		delete(r.pending, number)
 	}
 }
 
-// TakePlace asks the owner of an upstream in a failure domain for a place there under a bound. A
-// place is granted also when no owner answers in time. Release gives it back.
+// TakePlace requests a slot at an upstream, subject to a bound, from the owner of the upstream in a
+// failure domain. The slot is also granted when no owner answers in time. The returned function
+// releases the slot.
 func (m *Mesh) TakePlace(
 	ctx context.Context, upstream namekey.Key, failureDomain string, bound int,
 ) (granted bool, release func()) {
@@ -107,32 +110,32 @@
 		return true, nil
 	}
 	if owner.Box == m.self.Box {
-		return m.takeOwnPlace(upstream, bound)
+		return m.acquireLocalSlot(upstream, bound)
 	}
-	number, answer := m.asks.begin()
-	defer m.asks.end(number)
-	m.sendPlace(owner.Address, placeMessage{Kind: placeAsk, Number: number, Upstream: upstream, Bound: bound})
+	number, answer := m.pendingSlots.start()
+	defer m.pendingSlots.finish(number)
+	m.sendSlotMessage(owner.Address, slotMessage{Kind: slotAcquire, Number: number, Upstream: upstream, Bound: bound})
 	timedOut := make(chan struct{})
-	timer := m.clock.AfterFunc(placeWaitMs, func() { close(timedOut) })
+	timer := m.clock.AfterFunc(slotTimeoutMs, func() { close(timedOut) })
 	defer timer.Stop()
 	granted = true
 	select {
 	case granted = <-answer:
 	case <-timedOut:
-		m.notePlaceUnanswered()
+		m.recordSlotTimeout()
 	case <-ctx.Done():
 	}
 	if !granted {
 		return false, nil
 	}
-	// An ask may have arrived though its answer did not.
-	return true, func() { m.sendPlace(owner.Address, placeMessage{Kind: placeDone, Number: number}) }
+	// Even without an answer the owner may have received the request and counted the slot.
+	return true, func() { m.sendSlotMessage(owner.Address, slotMessage{Kind: slotRelease, Number: number}) }
 }
 
-// takeOwnPlace takes a place at an upstream that this box owns.
-func (m *Mesh) takeOwnPlace(upstream namekey.Key, bound int) (granted bool, release func()) {
-	number, _ := m.asks.begin()
-	m.asks.end(number)
+// acquireLocalSlot acquires a slot at an upstream that this box owns.
+func (m *Mesh) acquireLocalSlot(upstream namekey.Key, bound int) (granted bool, release func()) {
+	number, _ := m.pendingSlots.start()
+	m.pendingSlots.finish(number)
 	h := occupancy.Holder{Box: m.self.Address, Number: number}
 	if !m.ledger.Take(h, upstream, bound) {
 		return false, nil
@@ -140,11 +143,11 @@
 	return true, func() { m.ledger.Release(h) }
 }
 
-// owners is how many boxes of a failure domain own upstreams: few enough that all boxes soon know
-// them, and enough to share the asks.
-const owners = 16
+// ownersPerDomain is how many boxes of a failure domain own upstreams. They are few enough for all
+// boxes to discover them soon, and enough to share the load of the requests.
+const ownersPerDomain = 16
 
-// owner returns the box that counts the requests at an upstream: the first by rendezvous hashing
+// owner returns the box that counts the requests at an upstream. It is chosen by rendezvous hashing
 // among the owners of its failure domain.
 func (m *Mesh) owner(upstream namekey.Key, failureDomain string) (owner Identity, known bool) {
 	m.mu.Lock()
@@ -159,31 +162,32 @@
 	return owner, known
 }
 
-// hashed is a box with the hash of its name.
-type hashed struct {
+// hashedIdentity is a box with the hash of its name.
+type hashedIdentity struct {
 	Identity
 	hash uint64
 }
 
-// ownersLocked returns the first boxes of a failure domain by the hash of their names. Boxes that
-// were only named count: views of who is there differ less then.
-func (m *Mesh) ownersLocked(failureDomain string) []hashed {
-	now, life := m.clock.Steady(), m.lifeLocked()
-	list := []hashed{}
+// ownersLocked returns the first boxes of a failure domain in the order of their name hashes. It
+// includes boxes that were only named by others, because the views of different boxes differ less
+// then.
+func (m *Mesh) ownersLocked(failureDomain string) []hashedIdentity {
+	now, aliveTimeout := m.clock.Steady(), m.aliveTimeoutLocked()
+	list := []hashedIdentity{}
 	if m.self.FailureDomain == failureDomain {
-		list = append(list, hashed{Identity: m.self, hash: route.HashName(m.self.Box)})
+		list = append(list, hashedIdentity{Identity: m.self, hash: route.HashName(m.self.Box)})
 	}
 	for _, p := range m.peers {
-		if p.FailureDomain == failureDomain && !p.leaving && now-p.heardMs < life {
-			list = append(list, hashed{Identity: p.Identity, hash: route.HashName(p.Box)})
+		if p.FailureDomain == failureDomain && !p.leaving && now-p.lastSeenMs < aliveTimeout {
+			list = append(list, hashedIdentity{Identity: p.Identity, hash: route.HashName(p.Box)})
 		}
 	}
-	slices.SortFunc(list, func(a, b hashed) int { return cmp.Compare(a.hash, b.hash) })
-	return list[:min(owners, len(list))]
+	slices.SortFunc(list, func(a, b hashedIdentity) int { return cmp.Compare(a.hash, b.hash) })
+	return list[:min(ownersPerDomain, len(list))]
 }
 
-// drawOwnersLocked returns some owners of all failure domains.
-func (m *Mesh) drawOwnersLocked(count int) []Identity {
+// sampleOwnersLocked returns a random sample of the owners of all failure domains.
+func (m *Mesh) sampleOwnersLocked(count int) []Identity {
 	domains := map[string]bool{m.self.FailureDomain: true}
 	for _, p := range m.peers {
 		domains[p.FailureDomain] = true
@@ -198,9 +202,9 @@
 	return all[:min(count, len(all))]
 }
 
-// handlePlace handles a datagram about a place.
-func (m *Mesh) handlePlace(data []byte, from net.Addr) {
-	p, err := decodePlace(data)
+// handleSlotMessage processes a datagram about a slot.
+func (m *Mesh) handleSlotMessage(data []byte, from net.Addr) {
+	p, err := decodeSlotMessage(data)
 	if err != nil {
 		m.mu.Lock()
 		m.ignored++
@@ -209,34 +213,36 @@
 	}
 	h := occupancy.Holder{Box: from.String(), Number: p.Number}
 	switch p.Kind {
-	case placeAsk:
-		answer := placeMessage{Kind: placeRefused, Number: p.Number}
+	case slotAcquire:
+		answer := slotMessage{Kind: slotDenied, Number: p.Number}
 		if m.ledger.Take(h, p.Upstream, p.Bound) {
-			answer.Kind = placeGranted
+			answer.Kind = slotGranted
 		}
-		m.sendPlace(from.String(), answer)
-	case placeGranted, placeRefused:
-		m.asks.answered(p.Number, p.Kind == placeGranted)
-	case placeDone:
+		m.sendSlotMessage(from.String(), answer)
+	case slotGranted, slotDenied:
+		m.pendingSlots.resolve(p.Number, p.Kind == slotGranted)
+	case slotRelease:
 		m.ledger.Release(h)
 	}
 }
 
-// sendPlace sends a datagram about a place. One that can't be sent is as good as lost.
-func (m *Mesh) sendPlace(address string, p placeMessage) {
+// sendSlotMessage sends a datagram about a slot. A failure is counted and otherwise treated like
+// packet loss.
+func (m *Mesh) sendSlotMessage(address string, p slotMessage) {
 	data, err := cbor.Marshal(p)
 	sent := 0
 	if err == nil {
 		sent, err = m.write(address, data)
 	}
-	m.noteSent(sent, err)
+	m.recordSent(sent, err)
 }
 
-func (m *Mesh) notePlaceUnanswered() {
+func (m *Mesh) recordSlotTimeout() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.unansweredPlaces++
+	m.slotTimeouts++
 }
 
-// ExpirePlaces drops places whose end was not told; call it each second or more often.
+// ExpirePlaces removes slots whose release message was lost. It must be called at least once a
+// second.
 func (m *Mesh) ExpirePlaces() { m.ledger.Expire() }
--- a/internal/mesh/places_test.go
+++ b/internal/mesh/places_test.go
@@ -12,7 +12,8 @@
 	"dooryard.example/dooryard/internal/namekey"
 )
 
-// runningByPool is what a box runs; all upstreams of the tests are of one pool.
+// runningByPool returns the box's requests in flight. All upstreams of the tests belong to one
+// pool.
 func (b *box) runningByPool() map[namekey.Key]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -28,39 +29,39 @@
 	testDomains    = 5
 )
 
-// largeTest runs a test on a fleet so large that upstreams have owners.
-func largeTest(t *testing.T, test func(f *fixture)) {
+// runLargeFleet runs a test on a fleet that is so large that upstreams have owners.
+func runLargeFleet(t *testing.T, test func(f *fixture)) {
 	t.Helper()
-	bubble(t, func(f *fixture) {
+	runInBubble(t, func(f *fixture) {
 		for i := range largeTestFleet {
 			f.start(fmt.Sprint("d", i%testDomains)).setInFlight(loads{"u": i % 7})
 		}
-		// Until all have been asked by all, views of the fleet differ.
-		pass(f.t, time.Minute)
+		// The boxes' views of the fleet differ until every box has pinged every other one.
+		advance(f.t, time.Minute)
 		test(f)
 	})
 }
 
-// takeAll lets each box ask for a place at an upstream, and returns how many got one, and what gives
-// them back.
-func (f *fixture) takeAll(upstream string, bound int) (granted int, release func()) {
+// acquireAll lets each box request a slot at an upstream. It returns the number of granted slots
+// and a function that releases them.
+func (f *fixture) acquireAll(upstream string, bound int) (granted int, release func()) {
 	releases := []func(){}
 	for _, b := range f.boxes {
-		ok, done := b.TakePlace(f.t.Context(), namekey.Of(upstream), "d1", bound)
+		ok, releaseSlot := b.TakePlace(f.t.Context(), namekey.Of(upstream), "d1", bound)
 		if ok {
 			granted++
-			releases = append(releases, done)
+			releases = append(releases, releaseSlot)
 		}
 	}
 	return granted, func() {
-		for _, one := range releases {
-			one()
+		for _, releaseOne := range releases {
+			releaseOne()
 		}
 	}
 }
 
-// places is how many places all boxes count as owners, after dropping those that are over.
-func (f *fixture) places() int {
+// slots returns the number of slots that all boxes count as owners, after removing expired ones.
+func (f *fixture) slots() int {
 	sum := 0
 	for _, b := range f.boxes {
 		b.ExpirePlaces()
@@ -69,40 +70,40 @@
 	return sum
 }
 
-func TestPlaces(t *testing.T) {
-	largeTest(t, func(f *fixture) {
+func TestSlots(t *testing.T) {
+	runLargeFleet(t, func(f *fixture) {
 		t := f.t
-		granted, release := f.takeAll("u", 9)
-		assert.Equal(t, 9, granted, "all boxes together get as many places as the bound allows")
+		granted, release := f.acquireAll("u", 9)
+		assert.Equal(t, 9, granted, "all boxes together get as many slots as the bound allows")
 		release()
-		pass(t, time.Second)
-		assert.Zero(t, f.places())
-		granted, _ = f.takeAll("u", 7)
-		assert.Equal(t, 7, granted, "places given back are free")
-		pass(t, time.Minute)
-		assert.Zero(t, f.places(), "an owner forgets places whose end is lost")
+		advance(t, time.Second)
+		assert.Zero(t, f.slots())
+		granted, _ = f.acquireAll("u", 7)
+		assert.Equal(t, 7, granted, "released slots are available again")
+		advance(t, time.Minute)
+		assert.Zero(t, f.slots(), "an owner expires slots whose release message was lost")
 
-		free, release := f.boxes[0].TakePlace(t.Context(), namekey.Of("u"), "nowhere", 0)
-		assert.True(t, free, "places are free where no box stands in the failure domain")
+		ok, release := f.boxes[0].TakePlace(t.Context(), namekey.Of("u"), "nowhere", 0)
+		assert.True(t, ok, "slots are granted in a failure domain without boxes")
 		assert.Nil(t, release)
 		sum := 0
 		for _, b := range f.boxes {
 			sum += b.Running()[namekey.Of("p")]
 		}
-		assert.InEpsilon(t, f.running(), sum/len(f.boxes), 0.25, "what all run, as boxes know it on average")
+		assert.InEpsilon(t, f.running(), sum/len(f.boxes), 0.25, "the boxes' average estimate of all requests in flight")
 
-		asker := f.boxes[0]
-		f.network.SetCut(func(from, to string) bool { return from == asker.self.Box || to == asker.self.Box })
-		began := time.Now()
-		free, release = asker.TakePlace(t.Context(), namekey.Of("u"), "d1", 0)
-		assert.True(t, free, "a box whose ask is not answered gets a place")
-		assert.LessOrEqual(t, time.Since(began), 2*placeWaitMs.Duration(), "soon")
+		requester := f.boxes[0]
+		f.network.SetCut(func(from, to string) bool { return from == requester.self.Box || to == requester.self.Box })
+		start := time.Now()
+		ok, release = requester.TakePlace(t.Context(), namekey.Of("u"), "d1", 0)
+		assert.True(t, ok, "a box whose request is not answered gets a slot")
+		assert.LessOrEqual(t, time.Since(start), 2*slotTimeoutMs.Duration(), "within the timeout")
 		release()
-		assert.Equal(t, int64(1), asker.Sizes().PlacesUnanswered)
+		assert.Equal(t, int64(1), requester.Sizes().SlotTimeouts)
 	})
 }
 
-// running is what all boxes run.
+// running returns the requests in flight of all boxes.
 func (f *fixture) running() int {
 	sum := 0
 	for _, b := range f.boxes {
@@ -112,41 +113,41 @@
 }
 
 func TestRunningOfSmallFleet(t *testing.T) {
-	bubble(t, func(f *fixture) {
+	runInBubble(t, func(f *fixture) {
 		f.start("d")
 		f.start("d")
-		pass(f.t, 3*time.Second)
-		assert.Nil(f.t, f.boxes[0].Running(), "a small fleet tells loads by upstream")
+		advance(f.t, 3*time.Second)
+		assert.Nil(f.t, f.boxes[0].Running(), "a small fleet exchanges loads by upstream")
 	})
 }
 
-func TestPlaceMessages(t *testing.T) {
-	t.Run("take few bytes", func(t *testing.T) {
-		for _, p := range []placeMessage{
-			{Kind: placeAsk, Number: 1 << 31, Upstream: 1 << 31, Bound: 300},
-			{Kind: placeGranted, Number: 1 << 31},
-			{Kind: placeDone, Number: 1 << 31},
+func TestSlotMessages(t *testing.T) {
+	t.Run("are small", func(t *testing.T) {
+		for _, p := range []slotMessage{
+			{Kind: slotAcquire, Number: 1 << 31, Upstream: 1 << 31, Bound: 300},
+			{Kind: slotGranted, Number: 1 << 31},
+			{Kind: slotRelease, Number: 1 << 31},
 		} {
 			data, err := cbor.Marshal(p)
 			require.NoError(t, err)
 			assert.LessOrEqual(t, len(data), 16)
-			assert.True(t, isPlaceMessage(data))
-			read, err := decodePlace(data)
+			assert.True(t, isSlotMessage(data))
+			read, err := decodeSlotMessage(data)
 			require.NoError(t, err)
 			assert.Equal(t, p, read)
 		}
 	})
-	t.Run("are told from other datagrams", func(t *testing.T) {
+	t.Run("are distinguished from other datagrams", func(t *testing.T) {
 		data, err := (&packet{Type: typePing}).encode()
 		require.NoError(t, err)
-		assert.False(t, isPlaceMessage(data))
-		assert.False(t, isPlaceMessage(nil))
+		assert.False(t, isSlotMessage(data))
+		assert.False(t, isSlotMessage(nil))
 	})
 	for name, data := range map[string][]byte{
-		"cut": {0x84, 1}, "of an unknown kind": {0x84, 9, 1, 1, 1}, "with a bound below zero": {0x84, 1, 1, 1, 0x20},
+		"truncated after one element": {0x84, 1}, "of an unknown kind": {0x84, 9, 1, 1, 1}, "with a negative bound": {0x84, 1, 1, 1, 0x20},
 	} {
-		t.Run("one that is "+name+" is void", func(t *testing.T) {
-			_, err := decodePlace(data)
+		t.Run("a message "+name+" is rejected", func(t *testing.T) {
+			_, err := decodeSlotMessage(data)
 			require.ErrorIs(t, err, ErrInvalid)
 		})
 	}
--- a/internal/mesh/sources_test.go
+++ b/internal/mesh/sources_test.go
@@ -7,11 +7,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// In a large fleet a box counts as there for minutes after it was last heard, since each is asked
-// that seldom. The box that reads the store for a failure domain is asked in each round; while it
-// still counted though it answered nobody, all others of its domain read the store themselves.
-func TestSilentSourceOfLargeFleet(t *testing.T) {
-	largeTest(t, func(f *fixture) {
+// TestUnresponsiveStoreReader guards against a store reader that stops answering but is not
+// replaced. In a large fleet a box counts as alive for minutes after its last message, because each
+// box is pinged rarely, although the store reader is pinged in each round. While an unresponsive
+// reader still counted as alive, all other boxes of its domain read the store themselves.
+func TestUnresponsiveStoreReader(t *testing.T) {
+	runLargeFleet(t, func(f *fixture) {
 		t := f.t
 		readers := func() []*box {
 			list := []*box{}
@@ -26,10 +27,10 @@
 		if !assert.Len(t, before, 1) {
 			return
 		}
-		gone := before[0].self.Box
-		f.network.SetCut(func(from, to string) bool { return from == gone || to == gone })
-		pass(t, 5*time.Second)
+		isolated := before[0].self.Box
+		f.network.SetCut(func(from, to string) bool { return from == isolated || to == isolated })
+		advance(t, 5*time.Second)
 		after := readers()
-		assert.Len(t, after, 2, "the one that is cut off, and its successor")
+		assert.Len(t, after, 2, "the isolated reader and its successor")
 	})
 }
