--- a/internal/relay/encode.go
+++ b/internal/relay/encode.go
@@ -11,56 +11,58 @@
 	"dooryard.example/dooryard/internal/position"
 )
 
-// maxEncoded is how many encoded replies are kept: those to boxes that are one or two
+// maxCachedReplies limits the encoded replies in the cache. They serve boxes that are one or two
 // changes behind.
-const maxEncoded = 4
+const maxCachedReplies = 4
 
-// question is what decides a reply: what the asker has and what this box has.
-type question struct {
+// cacheKey holds what determines a reply: the version and position of the requester and of this
+// box.
+type cacheKey struct {
 	version, ownVersion   int64
 	position, ownPosition position.Position
 }
 
-// encoder encodes replies and keeps the newest. After a change all boxes of a failure
-// domain ask the same within some ten milliseconds, of a box that may have a fifth of a
-// core and 10 Mbit/s: with 250 routes and 18 boxes the last one had the state after 1.2
-// to 1.6 s, since each reply was encoded anew and ten times as long.
-type encoder struct {
-	mu    sync.Mutex
-	order []question
-	kept  map[question][]byte
+// replyCache encodes replies and caches the newest ones. After a change all boxes of a failure
+// domain send the same request within tens of milliseconds, possibly to a box with a fifth of a
+// core and 10 Mbit/s. Without the cache and the compression, which makes a reply ten times smaller,
+// the last of 18 boxes received a state with 250 routes only after 1.2 to 1.6 s.
+type replyCache struct {
+	mu      sync.Mutex
+	order   []cacheKey
+	entries map[cacheKey][]byte
 }
 
-// encode returns the compressed JSON of the reply to a question.
-func (e *encoder) encode(q question, reply Reply) ([]byte, error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if data, known := e.kept[q]; known {
+// encode returns a reply as compressed JSON, from the cache if possible.
+func (c *replyCache) encode(key cacheKey, reply Reply) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if data, known := c.entries[key]; known {
 		return data, nil
 	}
-	data, err := compressed(reply)
+	data, err := compressReply(reply)
 	if err != nil {
 		return nil, err
 	}
-	if e.kept == nil {
-		e.kept = map[question][]byte{}
+	if c.entries == nil {
+		c.entries = map[cacheKey][]byte{}
 	}
-	if len(e.order) == maxEncoded {
-		delete(e.kept, e.order[0])
-		e.order = e.order[1:]
+	if len(c.order) == maxCachedReplies {
+		delete(c.entries, c.order[0])
+		c.order = c.order[1:]
 	}
-	e.order = append(e.order, q)
-	e.kept[q] = data
+	c.order = append(c.order, key)
+	c.entries[key] = data
 	return data, nil
 }
 
-func compressed(reply Reply) ([]byte, error) {
+func compressReply(reply Reply) ([]byte, error) {
 	plain, err := json.Marshal(reply)
 	if err != nil {
 		return nil, fmt.Errorf("encode reply: %w", err)
 	}
 	var out bytes.Buffer
-	// This level needs a third of the memory of the others and no window afterwards.
+	// Stateless compression needs a third of the memory of the other levels and keeps no window
+	// afterwards.
 	w, err := gzip.NewWriterLevel(&out, gzip.StatelessCompression)
 	if err != nil {
 		return nil, fmt.Errorf("compress reply: %w", err)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay carries the routing state and the upstreams from one box to
-// another, for boxes that don't read them from their store.
+// Package relay transfers the routing state and the upstreams between boxes, for boxes that don't
+// read them from the store themselves.
 package relay
 
 import (
@@ -20,83 +20,84 @@
 	"dooryard.example/dooryard/internal/routing"
 )
 
-// ErrUnavailable means that a box gave no usable answer.
+// ErrUnavailable is returned when a box gives no usable response.
 var ErrUnavailable = errors.New("box unavailable")
 
-// Bounds of a call between boxes.
+// Limits of requests between boxes.
 const (
 	path          = "/v1/routing"
 	callMs        = 1000
 	connectMs     = 300
 	maxReplyBytes = 16 << 20
-	// maxLong is how many long replies a box gives at once. When all boxes of a
-	// large fleet start together, one that knows more would else spend its whole
-	// link on them.
-	maxLong = 2
-	// longChanges is how many changes make a reply long.
-	longChanges = 200
-	keepIdle    = 20 * time.Second
+	// maxLongReplies limits the long replies that a box sends concurrently. Otherwise, when all
+	// boxes of a large fleet start together, a box that is ahead of the others would use its whole
+	// bandwidth for replies.
+	maxLongReplies = 2
+	// longReplyChanges is the number of changes above which a reply counts as long.
+	longReplyChanges = 200
+	idleConnTimeout  = 20 * time.Second
 )
 
-// Reply is what one box tells another: what the other one does not have yet.
+// Reply contains what the requester does not have yet.
 type Reply struct {
 	Version int64 `json:"version"`
-	// State is set when it is newer than what the asker has.
+	// State is set when it is newer than the requester's.
 	State *routing.Content `json:"state,omitempty"`
-	// Era is the newest era of the store in which it told of Version.
+	// Era is the newest store era in which the store returned Version.
 	Era       int64           `json:"era,omitempty"`
 	Upstreams registry.Update `json:"upstreams"`
 }
 
-// errBusy means that a box gives enough long replies already.
+// errBusy is returned while the maximum number of long replies is being sent.
 var errBusy = apierror.New(http.StatusServiceUnavailable, "busy", "too many long replies at once")
 
-// Handler answers other boxes.
+// Handler serves the routing state and the upstreams to other boxes.
 func Handler(belief *routing.Belief, upstreams *registry.Registry) http.Handler {
 	mux := http.NewServeMux()
-	encoded := &encoder{}
-	long := make(chan struct{}, maxLong)
+	cache := &replyCache{}
+	longReplies := make(chan struct{}, maxLongReplies)
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
 		version, versionErr := strconv.ParseInt(r.URL.Query().Get("version"), 10, 64)
-		at, positionErr := positionOf(r)
+		after, positionErr := parsePosition(r)
 		if err := errors.Join(versionErr, positionErr); err != nil {
 			apierror.New(http.StatusBadRequest, "bad_query", err.Error()).Write(w)
 			return
 		}
-		out := reply(belief, upstreams, version, at)
-		if len(out.Upstreams.Changes) > longChanges {
+		out := reply(belief, upstreams, version, after)
+		if len(out.Upstreams.Changes) > longReplyChanges {
 			select {
-			case long <- struct{}{}:
-				defer func() { <-long }()
+			case longReplies <- struct{}{}:
+				defer func() { <-longReplies }()
 			default:
 				errBusy.Write(w)
 				return
 			}
 		}
-		q := question{version: version, position: at, ownVersion: out.Version, ownPosition: out.Upstreams.Position}
-		data, err := encoded.encode(q, out)
+		key := cacheKey{version: version, position: after, ownVersion: out.Version, ownPosition: out.Upstreams.Position}
+		data, err := cache.encode(key, out)
 		if err != nil {
 			apierror.New(http.StatusInternalServerError, "internal", err.Error()).Write(w)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Encoding", "gzip")
-		// An asker that is gone can't be told.
+		// A write error means that the requester has disconnected.
 		_, _ = w.Write(data)
 	})
 	return mux
 }
 
-// positionOf returns where the asker stands; one that does not say gets everything.
-func positionOf(r *http.Request) (at position.Position, err error) {
+// parsePosition returns the position of the requester. A request without a position gets
+// everything.
+func parsePosition(r *http.Request) (after position.Position, err error) {
 	if text := r.URL.Query().Get("position"); text != "" {
-		err = at.UnmarshalText([]byte(text))
+		err = after.UnmarshalText([]byte(text))
 	}
-	return at, err
+	return after, err
 }
 
-func reply(belief *routing.Belief, upstreams *registry.Registry, version int64, at position.Position) Reply {
-	out := Reply{Upstreams: upstreams.Since(at)}
+func reply(belief *routing.Belief, upstreams *registry.Registry, version int64, after position.Position) Reply {
+	out := Reply{Upstreams: upstreams.Since(after)}
 	if state := belief.State(); state != nil {
 		out.Version, out.Era = state.Version(), belief.StateEra()
 		if state.Version() > version {
@@ -107,29 +108,28 @@
 	return out
 }
 
-// Client asks other boxes.
+// Client requests the routing state and the upstreams from other boxes.
 type Client struct {
 	client *http.Client
 }
 
-// NewClient returns a client. Dial is the standard dialer's when nil.
+// NewClient returns a client. If dial is nil, it uses the standard dialer.
 func NewClient(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: connectMs * time.Millisecond}).DialContext
 	}
 	return &Client{client: &http.Client{Transport: &http.Transport{
-		DialContext: dial, MaxIdleConnsPerHost: 1, IdleConnTimeout: keepIdle,
+		DialContext: dial, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleConnTimeout,
 	}}}
 }
 
-// Fetch asks the box at an address for what is newer than a version and a
-// position.
-func (c *Client) Fetch(ctx context.Context, address string, version int64, at position.Position) (Reply, error) {
+// Fetch requests everything that is newer than a version and a position from the box at an address.
+func (c *Client) Fetch(ctx context.Context, address string, version int64, after position.Position) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Millis(callMs).Duration())
 	defer cancel()
 	answer, err := jsonhttp.Call{
 		Client: c.client, Method: http.MethodGet, Limit: maxReplyBytes,
-		URL: fmt.Sprintf("http://%s%s?version=%d&position=%s", address, path, version, at),
+		URL: fmt.Sprintf("http://%s%s?version=%d&position=%s", address, path, version, after),
 	}.Do(ctx)
 	if err != nil {
 		return Reply{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -18,8 +18,8 @@
 
 func steady() clock.Millis { return 1000 }
 
-// full is what a box knows with a number of upstreams.
-func full(t *testing.T, upstreams int) (*routing.Belief, *registry.Registry) {
+// newState returns a routing state and a registry with a number of upstreams.
+func newState(t *testing.T, upstreams int) (*routing.Belief, *registry.Registry) {
 	t.Helper()
 	state, err := routing.New(routing.Content{Version: 7})
 	require.NoError(t, err)
@@ -32,23 +32,23 @@
 }
 
 func TestFetch(t *testing.T) {
-	belief, r := full(t, 3)
+	belief, r := newState(t, 3)
 	server := httptest.NewServer(Handler(belief, r))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 	c := NewClient(nil)
-	t.Run("gets what it does not have", func(t *testing.T) {
+	t.Run("returns the newer state and upstreams", func(t *testing.T) {
 		reply, err := c.Fetch(t.Context(), address, 0, position.At(0, 1))
 		require.NoError(t, err)
 		assert.Equal(t, int64(7), reply.State.Version)
 		assert.Len(t, reply.Upstreams.Changes, 2)
 	})
-	t.Run("gets newer states and upstreams as they come", func(t *testing.T) {
-		belief, r := full(t, 3)
+	t.Run("returns each new state and upstream", func(t *testing.T) {
+		belief, r := newState(t, 3)
 		server := httptest.NewServer(Handler(belief, r))
 		defer server.Close()
 		address := strings.TrimPrefix(server.URL, "http://")
-		for version := range int64(3 * maxEncoded) {
+		for version := range int64(3 * maxCachedReplies) {
 			state, err := routing.New(routing.Content{Version: 10 + version})
 			require.NoError(t, err)
 			belief.Adopt(state, 0)
@@ -61,7 +61,7 @@
 			}
 		}
 	})
-	t.Run("a state of many routes takes few bytes", func(t *testing.T) {
+	t.Run("compresses a state with many routes", func(t *testing.T) {
 		content := routing.Content{Version: 9}
 		for i := range 300 {
 			content.Routes = append(content.Routes, routing.Route{
@@ -69,70 +69,70 @@
 				Kind: routing.Safe, Attempts: 2, TimeoutMs: 1500, Splits: []routing.Split{{Pool: "p", Weight: 1}},
 			})
 		}
-		data, err := compressed(Reply{State: &content})
+		data, err := compressReply(Reply{State: &content})
 		require.NoError(t, err)
 		assert.Less(t, len(data), 10_000)
 	})
-	t.Run("gets nothing that it has", func(t *testing.T) {
+	t.Run("returns nothing that the requester has", func(t *testing.T) {
 		reply, err := c.Fetch(t.Context(), address, 7, position.At(0, 3))
 		require.NoError(t, err)
 		assert.Nil(t, reply.State)
 		assert.Empty(t, reply.Upstreams.Changes)
 	})
-	t.Run("a question that can't be read is refused", func(t *testing.T) {
+	t.Run("rejects an invalid query", func(t *testing.T) {
 		response, err := http.Get(server.URL + path + "?version=x")
 		require.NoError(t, err)
 		require.NoError(t, response.Body.Close())
 		assert.Equal(t, http.StatusBadRequest, response.StatusCode)
 	})
-	t.Run("a box that is gone gives an error", func(t *testing.T) {
+	t.Run("returns an error for an unreachable box", func(t *testing.T) {
 		server.Close()
 		_, err := c.Fetch(t.Context(), address, 0, position.Position{})
 		require.ErrorIs(t, err, ErrUnavailable)
 	})
 }
 
-// stalled is a caller that reads nothing of its answer until it is let go.
-type stalled struct {
+// stalledWriter blocks writes until it is released, like a client that does not read the response.
+type stalledWriter struct {
 	*httptest.ResponseRecorder
-	begun, let chan struct{}
+	started, release chan struct{}
 }
 
-func (s stalled) Write(data []byte) (int, error) {
-	s.begun <- struct{}{}
-	<-s.let
+func (s stalledWriter) Write(data []byte) (int, error) {
+	s.started <- struct{}{}
+	<-s.release
 	return s.ResponseRecorder.Write(data)
 }
 
 func TestLongReplies(t *testing.T) {
-	handler := Handler(full(t, longChanges+1))
+	handler := Handler(newState(t, longReplyChanges+1))
 	ask := func(w http.ResponseWriter, offset int) {
 		handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, fmt.Sprintf("%s?version=7&position=0:%d", path, offset), nil))
 	}
-	s := stalled{ResponseRecorder: httptest.NewRecorder(), begun: make(chan struct{}), let: make(chan struct{})}
+	stall := stalledWriter{ResponseRecorder: httptest.NewRecorder(), started: make(chan struct{}), release: make(chan struct{})}
 	done := make(chan struct{})
-	for range maxLong {
+	for range maxLongReplies {
 		go func() {
-			ask(stalled{ResponseRecorder: httptest.NewRecorder(), begun: s.begun, let: s.let}, 0)
+			ask(stalledWriter{ResponseRecorder: httptest.NewRecorder(), started: stall.started, release: stall.release}, 0)
 			done <- struct{}{}
 		}()
-		<-s.begun
+		<-stall.started
 	}
-	t.Run("more than a few at once are refused", func(t *testing.T) {
+	t.Run("are rejected above the concurrency limit", func(t *testing.T) {
 		w := httptest.NewRecorder()
 		ask(w, 0)
 		assert.Equal(t, http.StatusServiceUnavailable, w.Code)
 	})
-	t.Run("short ones are not", func(t *testing.T) {
+	t.Run("short replies are not limited", func(t *testing.T) {
 		w := httptest.NewRecorder()
-		ask(w, longChanges)
+		ask(w, longReplyChanges)
 		assert.Equal(t, http.StatusOK, w.Code)
 	})
-	close(s.let)
-	for range maxLong {
+	close(stall.release)
+	for range maxLongReplies {
 		<-done
 	}
-	t.Run("they are given again once others have ended", func(t *testing.T) {
+	t.Run("are accepted again once others have finished", func(t *testing.T) {
 		w := httptest.NewRecorder()
 		ask(w, 0)
 		assert.Equal(t, http.StatusOK, w.Code)
