--- a/internal/position/position.go
+++ b/internal/position/position.go
@@ -1,5 +1,5 @@
-// Package position orders what is read from a log that may come back from an older copy of
-// itself: its offsets then go back and are given out again.
+// Package position orders the records of a log that may be restored from an older copy of itself.
+// The offsets of the log then go back and are assigned again.
 package position
 
 import (
@@ -10,30 +10,30 @@
 	"strings"
 )
 
-// ErrInvalid marks a position that can't be read.
+// ErrInvalid is returned for a position that can't be parsed.
 var ErrInvalid = errors.New("invalid position")
 
-// Position is a place in a log. The zero value is the beginning.
+// Position is a position in a log. The zero value is the beginning.
 type Position struct {
 	_ struct{} `cbor:",toarray"`
-	// Era counts how often the log has come back from an older copy.
+	// Era is the number of times the log has been restored from an older copy.
 	Era int64
-	// Offset is how many records of the era precede the position.
+	// Offset is the number of records of the era that precede the position.
 	Offset int64
 }
 
-// At returns the position behind so many records of an era.
+// At returns the position at an offset of an era.
 func At(era, offset int64) Position { return Position{Era: era, Offset: offset} }
 
-// Compare orders positions: by their eras, and within one by their offsets.
+// Compare orders positions by era, and by offset within an era.
 func (p Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(p.Era, other.Era), cmp.Compare(p.Offset, other.Offset))
 }
 
-// Before reports whether the position precedes another one.
+// Before reports whether p precedes another position.
 func (p Position) Before(other Position) bool { return p.Compare(other) < 0 }
 
-// IsZero reports whether the position is the beginning.
+// IsZero reports whether p is the beginning of the log.
 func (p Position) IsZero() bool { return p == Position{} }
 
 // Max returns the later of two positions.
@@ -44,7 +44,7 @@
 	return a
 }
 
-// String returns era and offset with a colon between.
+// String returns the position in the form "era:offset".
 func (p Position) String() string {
 	return strconv.FormatInt(p.Era, 10) + ":" + strconv.FormatInt(p.Offset, 10)
 }
--- a/internal/position/position_test.go
+++ b/internal/position/position_test.go
@@ -30,7 +30,7 @@
 		require.NoError(t, json.Unmarshal(data, &p))
 		assert.Equal(t, At(2, 40), p)
 	})
-	t.Run("in a few bytes", func(t *testing.T) {
+	t.Run("as compact CBOR", func(t *testing.T) {
 		data, err := cbor.Marshal(At(2, 40))
 		require.NoError(t, err)
 		assert.LessOrEqual(t, len(data), 4)
@@ -39,7 +39,7 @@
 		assert.Equal(t, At(2, 40), p)
 	})
 	for _, text := range []string{"", "7", "a:1", "1:b", "-1:2", "1:-2", "1:2:3"} {
-		t.Run("refuses "+text, func(t *testing.T) {
+		t.Run("rejects "+text, func(t *testing.T) {
 			var p Position
 			require.ErrorIs(t, p.UnmarshalText([]byte(text)), ErrInvalid)
 		})
