--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,6 +1,6 @@
-// Package datagram carries small messages between the boxes of a fleet over one
-// UDP socket: several channels, each message authenticated by the fleet's key
-// and counted.
+// Package datagram sends and receives small messages between the boxes of a fleet over one UDP
+// socket. The socket carries several channels. Each message is authenticated with the fleet's key,
+// and its bytes are counted.
 package datagram
 
 import (
@@ -14,31 +14,31 @@
 	"go.uber.org/zap"
 )
 
-// Errors of a datagram.
+// Errors of received datagrams.
 var (
 	ErrUnauthentic = errors.New("datagram not authentic")
 	ErrMalformed   = errors.New("malformed datagram")
 )
 
-// MaxBytes keeps a datagram within one frame of any network.
+// MaxBytes is the maximum size of a datagram. It fits into one frame on any network.
 const MaxBytes = 1200
 
 // Counter counts bytes or messages.
 type Counter interface{ Add(delta int64) }
 
-// Channel is one kind of messages on the socket.
+// Channel is one type of message on the socket.
 type Channel struct {
-	// Name is the first byte of its datagrams.
+	// Name is the first byte of the channel's datagrams.
 	Name byte
-	// CodeBytes is how much of the authentication code its datagrams carry.
+	// CodeBytes is the length to which the message authentication code is truncated.
 	CodeBytes int
-	// Sent and Received count the bytes on the socket.
+	// Sent and Received count the bytes of datagrams.
 	Sent, Received Counter
-	// Handle takes a message; it must not keep the body.
+	// Handle processes a message. It must not retain the body.
 	Handle func(from string, body []byte)
 }
 
-// Socket is a UDP socket with channels. It is safe for concurrent use.
+// Socket multiplexes channels over a UDP socket. It is safe for concurrent use.
 type Socket struct {
 	conn     net.PacketConn
 	keys     func() []string
@@ -47,14 +47,15 @@
 
 	mu       sync.RWMutex
 	channels map[byte]Channel
-	// addresses are parsed once; there are as many as boxes.
+	// addresses caches parsed addresses, so that each is parsed once. There is about one per box.
 	addresses map[string]net.Addr
 }
 
-// maxAddresses bounds the parsed addresses that are kept.
+// maxAddresses limits the cache of parsed addresses.
 const maxAddresses = 10_000
 
-// New returns a socket without channels. The first key seals, all open.
+// New returns a socket without channels. The first key authenticates sent messages, and any of the
+// keys is accepted for received ones.
 func New(conn net.PacketConn, keys func() []string, rejected Counter, logger *zap.Logger) *Socket {
 	return &Socket{
 		conn: conn, keys: keys, rejected: rejected, logger: logger,
@@ -62,20 +63,20 @@
 	}
 }
 
-// Open adds a channel. Call it before Run.
+// Open adds a channel. It must be called before Run.
 func (s *Socket) Open(channel Channel) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.channels[channel.Name] = channel
 }
 
-// Address returns the socket's own address.
+// Address returns the local address of the socket.
 func (s *Socket) Address() string { return s.conn.LocalAddr().String() }
 
-// Send seals a message and sends it. A message that is lost or too long is lost
-// without a word, as on any network.
+// Send authenticates a message and sends it. Messages that are too long or can't be sent are
+// dropped silently, as lost datagrams are.
 func (s *Socket) Send(name byte, address string, body []byte) {
-	channel, target := s.route(name, address)
+	channel, target := s.resolve(name, address)
 	if target == nil {
 		return
 	}
@@ -88,7 +89,7 @@
 	}
 }
 
-func (s *Socket) route(name byte, address string) (Channel, net.Addr) {
+func (s *Socket) resolve(name byte, address string) (Channel, net.Addr) {
 	s.mu.RLock()
 	channel, target := s.channels[name], s.addresses[address]
 	s.mu.RUnlock()
@@ -108,8 +109,7 @@
 	return channel, resolved
 }
 
-// Run hands messages to their channels until the context ends; then it closes
-// the socket.
+// Run dispatches messages to their channels until the context ends. It then closes the socket.
 func (s *Socket) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
@@ -154,17 +154,17 @@
 	s.logger.Debug("datagram dropped", zap.String("from", from), zap.Error(err))
 }
 
-// seal puts the channel's name and the authentication code in front of a body.
+// seal prepends the channel's name and the authentication code to a body.
 func seal(key string, channel Channel, body []byte) []byte {
 	data := make([]byte, 0, 1+channel.CodeBytes+len(body))
 	data = append(data, channel.Name)
-	data = append(data, code(key, channel, body)...)
+	data = append(data, authCode(key, channel, body)...)
 	return append(data, body...)
 }
 
-func code(key string, channel Channel, body []byte) []byte {
+func authCode(key string, channel Channel, body []byte) []byte {
 	mac := hmac.New(sha256.New, []byte(key))
-	// Writes to a hash never fail.
+	// Writing to a hash never fails.
 	_, _ = mac.Write([]byte{channel.Name})
 	_, _ = mac.Write(body)
 	return mac.Sum(nil)[:channel.CodeBytes]
@@ -177,7 +177,7 @@
 	}
 	body := data[start:]
 	for _, key := range keys {
-		if hmac.Equal(data[1:start], code(key, channel, body)) {
+		if hmac.Equal(data[1:start], authCode(key, channel, body)) {
 			return body, nil
 		}
 	}
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -14,12 +14,12 @@
 
 func TestSealing(t *testing.T) {
 	channel := Channel{Name: 'm', CodeBytes: 8}
-	t.Run("opens under any of the keys", func(t *testing.T) {
+	t.Run("opens with any of the keys", func(t *testing.T) {
 		body, err := open([]string{newKey, oldKey}, channel, seal(oldKey, channel, []byte("x")))
 		require.NoError(t, err)
 		assert.Equal(t, "x", string(body))
 	})
-	t.Run("refuses another key, channel or body", func(t *testing.T) {
+	t.Run("rejects another key, channel or body", func(t *testing.T) {
 		data := seal(oldKey, channel, []byte("x"))
 		_, err := open([]string{newKey}, channel, data)
 		require.ErrorIs(t, err, ErrUnauthentic)
@@ -29,7 +29,7 @@
 		_, err = open([]string{oldKey}, channel, data)
 		require.ErrorIs(t, err, ErrUnauthentic)
 	})
-	t.Run("refuses what is too short", func(t *testing.T) {
+	t.Run("rejects a datagram that is too short", func(t *testing.T) {
 		_, err := open([]string{oldKey}, channel, []byte("m12345678"))
 		assert.ErrorIs(t, err, ErrMalformed)
 	})
