--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers is the HTTP interface between boxes: records and the whole state
-// of the table, and claims that one box gathers for others.
+// Package peers implements the HTTP interface between boxes. A box serves the records and the state
+// of its table, and processes claims that other boxes forward to it.
 package peers
 
 import (
@@ -20,10 +20,10 @@
 	"dooryard.example/dooryard/internal/tablestore"
 )
 
-// ErrUnavailable means that a peer gave no usable answer.
+// ErrUnavailable is returned when a peer gives no usable response.
 var ErrUnavailable = errors.New("peer unavailable")
 
-// Bounds of a call.
+// Limits of a request.
 const (
 	maxPageRecords              = 1000
 	maxWaitMs      clock.Millis = 20_000
@@ -31,16 +31,16 @@
 	maxStateBytes               = 512 << 20
 )
 
-// Dependencies are what the handler needs of its box.
+// Dependencies are what the handlers need from their box.
 type Dependencies struct {
 	Store *tablestore.Store
-	// Claim claims through this box's registry.
+	// Claim submits a claim to this box's registry and returns the verdict.
 	Claim func(ctx context.Context, record claim.Record) (claim.Verdict, error)
-	// Submit hands a settle or release record on.
+	// Submit forwards a settle or release record.
 	Submit func(record claim.Record)
 }
 
-// Routes adds the calls between boxes to a mux.
+// Routes registers the handlers on a mux.
 func Routes(mux *http.ServeMux, d Dependencies) {
 	h := &handler{d: d}
 	mux.HandleFunc("GET /v1/logs/"+tablestore.Stream+"/records", h.records)
@@ -52,7 +52,7 @@
 	d Dependencies
 }
 
-// records answers in the form of the platform's log.
+// records responds in the format of the platform's log.
 func (h *handler) records(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, fromErr := strconv.ParseInt(query.Get("from"), 10, 64)
@@ -64,7 +64,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), min(clock.Millis(wait), maxWaitMs).Duration())
 	defer cancel()
-	// An offset that is too old shows in the page's first offset.
+	// If the requested offset is no longer available, the first offset of the page shows it.
 	page, _ := h.d.Store.Tail().Read(ctx, from, min(limit, maxPageRecords))
 	if page.Records == nil {
 		page.Records = []backing.Record{}
@@ -72,7 +72,7 @@
 	jsonhttp.Write(w, page)
 }
 
-// state answers with the compressed encoding of the table in force.
+// state responds with the compressed encoding of the active table.
 func (h *handler) state(w http.ResponseWriter, _ *http.Request) {
 	state := h.d.Store.State()
 	if state.Offset() == 0 {
@@ -85,11 +85,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/zstd")
-	// A peer that is gone can't be told.
+	// A write error means that the peer has disconnected.
 	_, _ = w.Write(snapshot.Compress(encoded))
 }
 
-// ClaimReply is the answer to a claim that was gathered for another box.
+// ClaimReply is the response to a claim that another box forwarded.
 type ClaimReply struct {
 	Verdict claim.Verdict `json:"verdict"`
 }
@@ -113,10 +113,10 @@
 	jsonhttp.Write(w, ClaimReply{Verdict: verdict})
 }
 
-// Client calls other boxes. Its HTTP client adds the fleet's key.
+// Client sends requests to other boxes. Its HTTP client adds the fleet's key.
 type Client struct {
 	Client *http.Client
-	// Scheme is http, or https when the peers' listeners speak TLS.
+	// Scheme is http, or https if the peers' listeners use TLS.
 	Scheme string
 }
 
@@ -128,7 +128,7 @@
 	return log.Read(ctx, tablestore.Stream, from, limit, waitMs)
 }
 
-// State returns the table that is in force on a peer.
+// State returns the active table of a peer.
 func (c Client) State(ctx context.Context, address string) (*table.State, error) {
 	data, err := c.call(ctx, http.MethodGet, address, "/v1/table/state", nil)
 	if err != nil {
@@ -141,7 +141,7 @@
 	return table.Decode(encoded)
 }
 
-// Claim hands a record to the box that gathers its shard.
+// Claim forwards a record to the box that batches the records of its shard.
 func (c Client) Claim(ctx context.Context, address string, record claim.Record) (claim.Verdict, error) {
 	body, err := json.Marshal(record)
 	if err != nil {
