--- a/internal/membership/domains.go
+++ b/internal/membership/domains.go
@@ -7,18 +7,18 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// foreignBox is a box of another failure domain that was in touch.
+// foreignBox is a box of another failure domain that exchanged messages with this one.
 type foreignBox struct {
 	Box
-	heardMs clock.Millis
+	lastSeenMs clock.Millis
 }
 
-// Foreign returns the boxes of other failure domains that were in touch within a
-// span, by name. They are no members here.
+// Foreign returns the boxes of other failure domains that this box heard of within a span, sorted
+// by name. They are not members.
 func (n *Node) Foreign(now, span clock.Millis) []Box {
 	boxes := []Box{}
 	for _, f := range n.foreign {
-		if now-f.heardMs <= span {
+		if now-f.lastSeenMs <= span {
 			boxes = append(boxes, f.Box)
 		}
 	}
@@ -26,19 +26,19 @@
 	return boxes
 }
 
-// maxForeign bounds the boxes of other failure domains that are remembered.
+// maxForeign limits the remembered boxes of other failure domains.
 const maxForeign = 1000
 
-func (n *Node) meetForeign(box Box, now clock.Millis) {
+func (n *Node) recordForeign(box Box, now clock.Millis) {
 	if _, known := n.foreign[box.Name]; known || len(n.foreign) < maxForeign {
-		n.foreign[box.Name] = foreignBox{Box: box, heardMs: now}
+		n.foreign[box.Name] = foreignBox{Box: box, lastSeenMs: now}
 	}
 }
 
-// SetFacts sets what this box tells of itself.
+// SetFacts sets the facts that this box gossips about itself.
 func (n *Node) SetFacts(facts Facts) { n.facts.setOwn(n.id, facts) }
 
-// FactsOf returns what each other live box last told, by name.
+// FactsOf returns the latest facts of each other live box, by box name.
 func (n *Node) FactsOf() map[string]Facts {
 	found := map[string]Facts{}
 	for id, m := range n.members {
@@ -49,23 +49,23 @@
 	return found
 }
 
-// DomainFacts returns the sums of other failure domains that were heard within
-// a span, by the id of their name.
+// DomainFacts returns the summed facts of other failure domains that were received within a span,
+// by the ID of the domain's name.
 func (n *Node) DomainFacts(now, span clock.Millis) map[ID]Facts {
 	found := map[ID]Facts{}
 	for id, entry := range n.facts.entries {
-		if entry.Facts.Boxes > 0 && now-entry.heardMs <= span {
+		if entry.Facts.Boxes > 0 && now-entry.receivedMs <= span {
 			found[id] = entry.Facts
 		}
 	}
 	return found
 }
 
-// TellSums tells the box at an address, of another failure domain, the sums of
-// this one. The version is the time in seconds, so that any box may tell them.
+// TellSums returns the messages that send the summed facts of this failure domain to a box of
+// another one. The version is the time in seconds, so that any box of the domain may send them.
 func (n *Node) TellSums(address string, domain ID, now clock.Millis, sums Facts) []Outgoing {
 	n.sequence++
-	p := n.packet(kindSums, n.sequence)
+	p := n.packet(kindDomainFacts, n.sequence)
 	p.Updates = []update{{ID: n.id, Incarnation: n.incarnation, Status: Alive, Box: &n.self}}
 	p.Facts = []factEntry{{ID: domain, Version: uint32(now / clock.Second), Facts: sums}}
 	return n.send(address, p)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -10,13 +10,13 @@
 	"dooryard.example/dooryard/internal/datagram"
 )
 
-// ChannelName is the first byte of membership's datagrams.
+// ChannelName is the first byte of membership datagrams.
 const ChannelName = 'm'
 
-// CodeBytes is how much of the authentication code membership's datagrams carry.
+// CodeBytes is the length of the truncated authentication code in membership datagrams.
 const CodeBytes = 8
 
-// Gossip runs a Node on a socket. It is safe for concurrent use.
+// Gossip runs a Node over a socket. It is safe for concurrent use.
 type Gossip struct {
 	socket   *datagram.Socket
 	clock    clock.Clock
@@ -29,7 +29,7 @@
 	node *Node
 }
 
-// GossipOption changes a Gossip under construction.
+// GossipOption configures a new Gossip.
 type GossipOption func(*Gossip)
 
 // WithClock replaces the system clock.
@@ -38,16 +38,15 @@
 // WithLogger sets the logger.
 func WithLogger(logger *zap.Logger) GossipOption { return func(g *Gossip) { g.logger = logger } }
 
-// WithOnChange has a function called with the live boxes when they change.
+// WithOnChange sets a function that is called with the live boxes whenever they change.
 func WithOnChange(onChange func(live []string)) GossipOption {
 	return func(g *Gossip) { g.onChange = onChange }
 }
 
-// WithFacts sets the source of what this box tells of itself.
+// WithFacts sets the source of the facts that this box gossips about itself.
 func WithFacts(facts func() Facts) GossipOption { return func(g *Gossip) { g.facts = facts } }
 
-// NewGossip returns a gossip around a node. The caller opens the channel, with
-// Receive as its handler.
+// NewGossip returns a Gossip for a node. The caller opens the channel with Receive as its handler.
 func NewGossip(node *Node, socket *datagram.Socket, options ...GossipOption) *Gossip {
 	g := &Gossip{
 		socket: socket, clock: clock.New(), logger: zap.NewNop(), node: node,
@@ -62,7 +61,7 @@
 // Run pings other boxes until the context ends.
 func (g *Gossip) Run(ctx context.Context) { g.clock.Every(ctx, g.period, g.tick) }
 
-// factsEvery is how many periods pass between two versions of this box's facts.
+// factsEvery is the number of periods between updates of this box's facts.
 const factsEvery = 4
 
 func (g *Gossip) tick(now clock.Millis) {
@@ -76,7 +75,7 @@
 	g.report()
 }
 
-// Receive takes in a message.
+// Receive processes a message.
 func (g *Gossip) Receive(from string, body []byte) {
 	g.mu.Lock()
 	out, err := g.node.Receive(g.clock.Now(), from, body)
@@ -106,22 +105,22 @@
 	}
 }
 
-// SetContacts sets the addresses that are asked while this box knows no other
-// box of its failure domain, or none of another one.
+// SetContacts sets the addresses that are contacted while this box knows no other box of its
+// failure domain, or no box of another one.
 func (g *Gossip) SetContacts(addresses []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.node.SetContacts(addresses)
 }
 
-// SetListed takes over the platform's list of this failure domain.
+// SetListed replaces the platform's list of boxes in this failure domain.
 func (g *Gossip) SetListed(addresses map[string]string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.node.SetListed(addresses)
 }
 
-// Leave tells other boxes that this one stops as planned.
+// Leave notifies other boxes of a planned stop of this one.
 func (g *Gossip) Leave() {
 	g.mu.Lock()
 	out := g.node.Leave()
@@ -136,35 +135,35 @@
 	return g.node.Members()
 }
 
-// Live returns the names of the live boxes, this one included.
+// Live returns the names of the live boxes, including this one.
 func (g *Gossip) Live() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node.Live()
 }
 
-// FactsOf returns what each other live box last told of itself.
+// FactsOf returns the latest facts of each other live box.
 func (g *Gossip) FactsOf() map[string]Facts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node.FactsOf()
 }
 
-// DomainFacts returns the sums of other failure domains heard within a span.
+// DomainFacts returns the summed facts of other failure domains that were received within a span.
 func (g *Gossip) DomainFacts(span clock.Millis) map[ID]Facts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node.DomainFacts(g.clock.Now(), span)
 }
 
-// Foreign returns the boxes of other failure domains in touch within a span.
+// Foreign returns the boxes of other failure domains that this box heard of within a span.
 func (g *Gossip) Foreign(span clock.Millis) []Box {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node.Foreign(g.clock.Now(), span)
 }
 
-// TellSums tells a box of another failure domain the sums of this one.
+// TellSums sends the summed facts of this failure domain to a box of another one.
 func (g *Gossip) TellSums(address string, domain ID, sums Facts) {
 	g.mu.Lock()
 	out := g.node.TellSums(address, domain, g.clock.Now(), sums)
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -8,19 +8,18 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Settings are the times of the protocol.
+// Settings are the intervals and timeouts of the protocol.
 type Settings struct {
-	// PeriodMs is the time between two pings of one box.
+	// PeriodMs is the interval at which a box sends its pings.
 	PeriodMs clock.Millis
-	// RemoveMs is how long a box may be silent, from its first unanswered ping
-	// on, before it is removed. It is above the longest pause that a healthy
-	// box may make.
+	// RemoveMs is how long a box may be silent, counted from its first unanswered ping, before it
+	// is removed. It exceeds the longest pause of a healthy box.
 	RemoveMs clock.Millis
-	// ForgetMs is how long a box that is gone is remembered.
+	// ForgetMs is how long a dead or departed box is remembered.
 	ForgetMs clock.Millis
 }
 
-// DefaultSettings notice a dead box in under 5 s and keep one that pauses 3 s.
+// DefaultSettings returns settings that detect a dead box in under 5 s and tolerate a pause of 3 s.
 func DefaultSettings() Settings {
 	return Settings{PeriodMs: 300, RemoveMs: 3900, ForgetMs: 10 * 60 * clock.Second}
 }
@@ -31,80 +30,79 @@
 	Body    []byte
 }
 
-// Node is one box's part of the protocol. It belongs to one goroutine at a time.
+// Node is the protocol state machine of one box. It is not safe for concurrent use.
 type Node struct {
 	settings Settings
 	self     Box
 	id       ID
 	random   *rand.Rand
 
-	incarnation uint32
-	leaving     bool
-	members     map[ID]*member
-	sequence    uint32
-	period      uint64
-	ring        []ID
-	probes      map[uint32]*probe
-	relays      map[uint32]relay
-	news        *news
-	facts       *factBook
-	listed      map[string]string
-	contacts    []string
-	foreign     map[string]foreignBox
-	changed     bool
-	alive       int
+	incarnation   uint32
+	leaving       bool
+	members       map[ID]*member
+	sequence      uint32
+	period        uint64
+	pingOrder     []ID
+	probes        map[uint32]*probe
+	indirectPings map[uint32]indirectPing
+	updates       *updates
+	facts         *factStore
+	listed        map[string]string
+	contacts      []string
+	foreign       map[string]foreignBox
+	changed       bool
+	aliveCount    int
 }
 
-// member is what this box knows of another one.
+// member is this box's view of another box.
 type member struct {
 	box         Box
 	incarnation uint32
 	status      Status
-	// silentSince is the instant of the first unanswered ping of a suspect.
+	// silentSince is the time of the first unanswered ping to a suspect.
 	silentSince clock.Millis
-	goneMs      clock.Millis
+	removedMs   clock.Millis
 }
 
-// Option changes a Node under construction.
+// Option configures a new Node.
 type Option func(*Node)
 
-// WithRandom sets the source of random choices.
+// WithRandom sets the random number generator.
 func WithRandom(random *rand.Rand) Option { return func(n *Node) { n.random = random } }
 
-// WithSettings sets the times of the protocol.
+// WithSettings sets the intervals and timeouts of the protocol.
 func WithSettings(settings Settings) Option { return func(n *Node) { n.settings = settings } }
 
-// NewNode returns a box that knows nobody. The incarnation must be higher than
-// that of an earlier process under the same name; the start time in seconds is.
+// NewNode returns a node that knows no other box. The incarnation must be higher than that of any
+// earlier process with the same name. The start time in seconds meets this condition.
 func NewNode(self Box, incarnation uint32, options ...Option) *Node {
 	n := &Node{
 		settings: DefaultSettings(), self: self, id: NewID(self.Name), incarnation: incarnation,
 		random:  rand.New(rand.NewPCG(uint64(NewID(self.Name)), uint64(incarnation))),
-		members: map[ID]*member{}, probes: map[uint32]*probe{}, relays: map[uint32]relay{},
-		news: newNews(), facts: newFactBook(incarnation), listed: map[string]string{},
+		members: map[ID]*member{}, probes: map[uint32]*probe{}, indirectPings: map[uint32]indirectPing{},
+		updates: newUpdateQueue(), facts: newFactStore(incarnation), listed: map[string]string{},
 		foreign: map[string]foreignBox{},
 	}
 	for _, option := range options {
 		option(n)
 	}
-	n.announce()
+	n.announceAlive()
 	return n
 }
 
-// announce spreads that this box lives.
-func (n *Node) announce() {
-	n.news.add(update{ID: n.id, Incarnation: n.incarnation, Status: Alive, Box: &n.self}, n.size())
+// announceAlive queues an update that this box is alive.
+func (n *Node) announceAlive() {
+	n.updates.add(update{ID: n.id, Incarnation: n.incarnation, Status: Alive, Box: &n.self}, n.size())
 }
 
-// Member is a box as others see it.
+// Member is the state of a box as another box sees it.
 type Member struct {
 	Box
 	Status      Status
 	Incarnation uint32
 }
 
-// Members returns the other boxes that were ever heard of and not yet forgotten,
-// by name.
+// Members returns all other boxes that are not forgotten yet, sorted by name.
 func (n *Node) Members() []Member {
 	members := make([]Member, 0, len(n.members))
 	for _, m := range n.members {
@@ -114,8 +112,8 @@
 	return members
 }
 
-// Live returns the names of the live boxes, this one included, sorted. A suspect
-// lives until it is removed.
+// Live returns the sorted names of the live boxes, including this one. A suspect counts as live
+// until it is removed.
 func (n *Node) Live() []string {
 	names := []string{}
 	if !n.leaving {
@@ -130,42 +128,42 @@
 	return names
 }
 
-// TakeChanged reports whether the live boxes changed since the last call.
+// TakeChanged reports whether the set of live boxes has changed since the last call.
 func (n *Node) TakeChanged() bool {
 	changed := n.changed
 	n.changed = false
 	return changed
 }
 
-// SetListed takes over the platform's list: gossip addresses by name. Listed
-// boxes that are not known are asked to let this box in.
+// SetListed replaces the platform's list of gossip addresses by box name. The node sends join
+// requests to listed boxes that it does not know.
 func (n *Node) SetListed(addresses map[string]string) { n.listed = addresses }
 
-// SetContacts sets the addresses that are asked while this box knows no other
-// box of its failure domain, or none of another one.
+// SetContacts sets the addresses that are contacted while this box knows no other box of its
+// failure domain, or no box of another one.
 func (n *Node) SetContacts(addresses []string) { n.contacts = addresses }
 
-func (n *Node) size() int { return n.alive + 1 }
+func (n *Node) size() int { return n.aliveCount + 1 }
 
-// Leave tells some boxes that this one stops as planned.
+// Leave marks this box as leaving and notifies a few boxes of the planned stop.
 func (n *Node) Leave() []Outgoing {
 	n.leaving = true
 	n.changed = true
-	n.news.add(update{ID: n.id, Incarnation: n.incarnation, Status: Left}, n.size())
-	return n.pingSome(leaveFanout)
+	n.updates.add(update{ID: n.id, Incarnation: n.incarnation, Status: Left}, n.size())
+	return n.pingRandom(leaveFanout)
 }
 
 const (
-	leaveFanout  = 8
-	refuteFanout = 8
-	relayFanout  = 3
-	joinFanout   = 3
-	// rejoinEvery is how many periods pass between two tries to reach boxes
-	// that are listed, or were removed, and don't answer.
+	leaveFanout    = 8
+	refuteFanout   = 8
+	indirectFanout = 3
+	joinFanout     = 3
+	// rejoinEvery is the number of periods between attempts to reach boxes that are listed or were
+	// removed, and that don't respond.
 	rejoinEvery = 16
 )
 
-func (n *Node) pingSome(count int) []Outgoing {
+func (n *Node) pingRandom(count int) []Outgoing {
 	out := []Outgoing{}
 	for _, id := range n.randomLive(count) {
 		out = append(out, n.ping(id, 0)...)
@@ -173,31 +171,30 @@
 	return out
 }
 
-// Tick does a period's work: it judges unanswered pings, removes silent boxes
-// and sends this period's ping.
+// Tick runs one period: it evaluates unanswered pings, removes silent boxes and sends the ping of
+// the period.
 func (n *Node) Tick(now clock.Millis) []Outgoing {
 	n.period++
-	out := n.judgeProbes(now)
+	out := n.checkProbes(now)
 	n.removeSilent(now)
 	if target, found := n.nextTarget(); found {
 		out = append(out, n.ping(target, now)...)
 	}
-	if n.period%rejoinEvery == 1 || n.alive == 0 {
+	if n.period%rejoinEvery == 1 || n.aliveCount == 0 {
 		out = append(out, n.rejoin()...)
 	}
 	return out
 }
 
-// nextTarget alternates between the next live box in the order of ids, which
-// every box does, so that each is pinged every other period by its predecessor,
-// and a walk through all in random order.
+// nextTarget alternates between the live box with the next higher ID and a traversal of all boxes
+// in random order. As all boxes do so, each box is pinged by its predecessor every other period.
 func (n *Node) nextTarget() (ID, bool) {
 	if n.period%2 == 0 {
 		if id, found := n.successor(); found {
 			return id, true
 		}
 	}
-	return n.nextInRing()
+	return n.nextRandom()
 }
 
 func (n *Node) successor() (ID, bool) {
@@ -220,16 +217,16 @@
 	return lowest, foundAny
 }
 
-func (n *Node) nextInRing() (ID, bool) {
+func (n *Node) nextRandom() (ID, bool) {
 	for range 2 {
-		for len(n.ring) > 0 {
-			id := n.ring[0]
-			n.ring = n.ring[1:]
+		for len(n.pingOrder) > 0 {
+			id := n.pingOrder[0]
+			n.pingOrder = n.pingOrder[1:]
 			if m := n.members[id]; m != nil && m.status <= Suspect {
 				return id, true
 			}
 		}
-		n.ring = n.randomLive(len(n.members))
+		n.pingOrder = n.randomLive(len(n.members))
 	}
 	return 0, false
 }
@@ -255,13 +252,13 @@
 	}
 	p := n.packet(kindPing, n.sequence)
 	if m.status != Alive {
-		// A suspect has to hear of it to contradict.
+		// The suspect has to receive the update to be able to refute it.
 		p.Updates = append(p.Updates, update{ID: target, Incarnation: m.incarnation, Status: m.status})
 	}
 	return n.send(m.box.GossipAddress, p)
 }
 
-// rejoin tries a few boxes that should live and are not known to.
+// rejoin sends join requests to a few boxes that should be alive but are not known to be.
 func (n *Node) rejoin() []Outgoing {
 	addresses := []string{}
 	for name, address := range n.listed {
@@ -275,7 +272,7 @@
 			addresses = append(addresses, m.box.GossipAddress)
 		}
 	}
-	if n.alive == 0 || len(n.foreign) == 0 {
+	if n.aliveCount == 0 || len(n.foreign) == 0 {
 		addresses = append(addresses, n.contacts...)
 	}
 	slices.Sort(addresses)
@@ -288,7 +285,7 @@
 	return out
 }
 
-// Join asks the box at an address for all members.
+// Join requests all members from the box at an address.
 func (n *Node) Join(address string) []Outgoing {
 	n.sequence++
 	p := n.packet(kindJoin, n.sequence)
@@ -302,11 +299,11 @@
 	return &packet{Kind: k, Sequence: sequence, From: n.id, Incarnation: n.incarnation}
 }
 
-// send fills a packet with news and facts and encodes it.
+// send adds queued updates and facts to pings and acks, and encodes the packet.
 func (n *Node) send(address string, p *packet) []Outgoing {
 	if p.Kind == kindPing || p.Kind == kindAck {
-		p.Updates = append(p.Updates, n.news.take(maxUpdates)...)
-		p.Facts = n.takeFacts(p.Kind)
+		p.Updates = append(p.Updates, n.updates.next(maxUpdates)...)
+		p.Facts = n.nextFacts(p.Kind)
 	}
 	body, err := encode(p)
 	if err != nil {
@@ -315,18 +312,18 @@
 	return []Outgoing{{Address: address, Body: body}}
 }
 
-// takeFacts lets every other ping carry this box's facts and acks those of
-// others, more of them in a larger failure domain.
-func (n *Node) takeFacts(k kind) []factEntry {
+// nextFacts returns the facts to send. Every other ping carries this box's facts and acks carry
+// those of other boxes. The number of facts grows with the failure domain.
+func (n *Node) nextFacts(k kind) []factEntry {
 	others := min(maxFacts, 1+n.size()/boxesPerFact)
 	if k == kindPing {
-		return n.facts.take(n.period%ownFactsEvery == 1, others-1)
+		return n.facts.next(n.period%ownFactsEvery == 1, others-1)
 	}
-	return n.facts.take(false, others)
+	return n.facts.next(false, others)
 }
 
-// ownFactsEvery is how many pings pass between two that carry this box's facts:
-// those of the walk through all boxes, not those to the successor.
+// ownFactsEvery is the interval, in pings, at which a ping carries this box's facts. These are the
+// pings of the random traversal, not those to the successor.
 const ownFactsEvery = 2
 
 const (
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -12,10 +12,11 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// envelopeBytes is what a datagram adds to a body: the channel and the code.
+// envelopeBytes is what a datagram adds to the body: the channel's name and the authentication
+// code.
 const envelopeBytes = 1 + CodeBytes
 
-// domain is the boxes of one failure domain on one clock. Datagrams arrive a
+// domain simulates the boxes of one failure domain with a shared clock. Datagrams arrive a
 // millisecond after they were sent.
 type domain struct {
 	t      testing.TB
@@ -23,8 +24,8 @@
 	nodes  []*Node
 	random *rand.Rand
 	loss   float64
-	// frozen boxes do nothing; what was sent to them waits.
-	frozen map[int]bool
+	// paused boxes do nothing, and messages to them are queued.
+	paused map[int]bool
 	dead   map[int]bool
 	queue  []delivery
 	bytes  []int
@@ -44,7 +45,7 @@
 	tb.Helper()
 	d := &domain{
 		t: tb, now: 1_000_000, random: rand.New(rand.NewPCG(1, uint64(count))),
-		frozen: map[int]bool{}, dead: map[int]bool{}, bytes: make([]int, count),
+		paused: map[int]bool{}, dead: map[int]bool{}, bytes: make([]int, count),
 	}
 	listed := map[string]string{}
 	for i := range count {
@@ -61,14 +62,14 @@
 
 const stepMs = 10
 
-// run lets the time pass. Boxes tick at different moments of the period.
+// run advances the clock by a span. Boxes tick at different times within the period.
 func (d *domain) run(span clock.Millis) {
 	period := DefaultSettings().PeriodMs
 	for end := d.now + span; d.now < end; d.now += stepMs {
 		d.deliver()
 		for i, node := range d.nodes {
 			ticks := (d.now+clock.Millis(i*stepMs))%period == 0
-			if d.dead[i] || d.frozen[i] || !ticks {
+			if d.dead[i] || d.paused[i] || !ticks {
 				continue
 			}
 			if node.period%factsEvery == 0 {
@@ -98,7 +99,7 @@
 	for _, q := range due {
 		switch {
 		case d.dead[q.to]:
-		case d.frozen[q.to]:
+		case d.paused[q.to]:
 			d.queue = append(d.queue, q)
 		default:
 			d.bytes[q.to] += len(q.body) + envelopeBytes
@@ -109,8 +110,8 @@
 	}
 }
 
-// seeing counts the boxes that take box i for live.
-func (d *domain) seeing(i int) int {
+// viewers returns the number of boxes that consider box i live.
+func (d *domain) viewers(i int) int {
 	count := 0
 	for j, node := range d.nodes {
 		if j == i || d.dead[j] {
@@ -123,33 +124,33 @@
 	return count
 }
 
-func (d *domain) assertAllSeeAll() {
+func (d *domain) assertFullView() {
 	for i := range d.nodes {
-		assert.Equal(d.t, len(d.nodes)-1, d.seeing(i), "box %d", i)
+		assert.Equal(d.t, len(d.nodes)-1, d.viewers(i), "box %d", i)
 	}
 }
 
 var domainSizes = []int{3, 9, 90}
 
-func forSizes(t *testing.T, test func(t *testing.T, d *domain)) {
+func forEachSize(t *testing.T, test func(t *testing.T, d *domain)) {
 	t.Helper()
 	for _, count := range domainSizes {
 		t.Run(fmt.Sprint(count, " boxes"), func(t *testing.T) {
 			d := newDomain(t, count)
 			d.run(20 * clock.Second)
-			d.assertAllSeeAll()
+			d.assertFullView()
 			test(t, d)
 		})
 	}
 }
 
 func TestBoxThatDies(t *testing.T) {
-	forSizes(t, func(t *testing.T, d *domain) {
+	forEachSize(t, func(t *testing.T, d *domain) {
 		t.Helper()
 		for _, victim := range []int{0, len(d.nodes) / 2} {
 			d.dead[victim] = true
 			d.run(4990)
-			assert.Zero(t, d.seeing(victim), "noticed by all within 5 s")
+			assert.Zero(t, d.viewers(victim), "all boxes detect it within 5 s")
 		}
 	})
 }
@@ -162,21 +163,21 @@
 	}
 	d.run(6 * clock.Second)
 	for i := range 9 {
-		assert.Zero(t, d.seeing(10*i))
+		assert.Zero(t, d.viewers(10*i))
 	}
-	assert.Equal(t, 80, d.seeing(1), "the others stay")
+	assert.Equal(t, 80, d.viewers(1), "the other boxes remain members")
 }
 
 func TestBoxThatPauses(t *testing.T) {
-	forSizes(t, func(t *testing.T, d *domain) {
+	forEachSize(t, func(t *testing.T, d *domain) {
 		t.Helper()
 		for round := range 5 {
-			d.frozen[1] = true
+			d.paused[1] = true
 			d.run(3 * clock.Second)
-			d.frozen[1] = false
+			d.paused[1] = false
 			for range 20 {
 				d.run(100)
-				assert.Equal(t, len(d.nodes)-1, d.seeing(1), "round %d", round)
+				assert.Equal(t, len(d.nodes)-1, d.viewers(1), "round %d", round)
 			}
 			d.run(5 * clock.Second)
 		}
@@ -184,22 +185,22 @@
 }
 
 func TestLossOfDatagrams(t *testing.T) {
-	forSizes(t, func(t *testing.T, d *domain) {
+	forEachSize(t, func(t *testing.T, d *domain) {
 		t.Helper()
 		d.loss = 0.1
 		for range 60 {
 			d.run(clock.Second)
-			d.assertAllSeeAll()
+			d.assertFullView()
 		}
 	})
 }
 
 func TestBoxThatLeaves(t *testing.T) {
-	forSizes(t, func(t *testing.T, d *domain) {
+	forEachSize(t, func(t *testing.T, d *domain) {
 		t.Helper()
 		d.send(1, d.nodes[1].Leave())
 		d.run(3 * clock.Second)
-		assert.Zero(t, d.seeing(1))
+		assert.Zero(t, d.viewers(1))
 	})
 }
 
@@ -208,28 +209,28 @@
 	d.run(10 * clock.Second)
 	d.dead[1] = true
 	d.run(10 * clock.Second)
-	require.Zero(t, d.seeing(1))
-	t.Run("under a new incarnation is let in", func(t *testing.T) {
+	require.Zero(t, d.viewers(1))
+	t.Run("rejoins with a new incarnation", func(t *testing.T) {
 		d.nodes[1] = NewNode(d.nodes[1].self, uint32(d.now/clock.Second))
 		d.nodes[1].SetListed(map[string]string{boxName(0): address(0)})
 		delete(d.dead, 1)
 		d.run(3 * clock.Second)
-		assert.Equal(t, 8, d.seeing(1))
+		assert.Equal(t, 8, d.viewers(1))
 	})
-	t.Run("after being cut off contradicts its removal", func(t *testing.T) {
-		d.frozen[2] = true
+	t.Run("refutes its removal after a pause", func(t *testing.T) {
+		d.paused[2] = true
 		d.run(20 * clock.Second)
-		require.Zero(t, d.seeing(2))
-		delete(d.frozen, 2)
+		require.Zero(t, d.viewers(2))
+		delete(d.paused, 2)
 		d.run(15 * clock.Second)
-		d.assertAllSeeAll()
+		d.assertFullView()
 	})
 }
 
-// TestBytes bounds what membership costs a box, both ways and with the facts.
+// TestBytes bounds the bytes that membership sends and receives per box, including facts.
 func TestBytes(t *testing.T) {
 	for _, c := range []struct {
-		boxes, most int
+		boxes, limit int
 	}{{9, 1000}, {90, 1600}} {
 		t.Run(fmt.Sprint(c.boxes, " boxes"), func(t *testing.T) {
 			d := newDomain(t, c.boxes)
@@ -241,29 +242,29 @@
 				busiest = max(busiest, bytes/60)
 			}
 			t.Logf("busiest box: %d bytes a second", busiest)
-			assert.Less(t, busiest, c.most)
+			assert.Less(t, busiest, c.limit)
 		})
 	}
 }
 
 func TestFacts(t *testing.T) {
-	t.Run("reach every box of 90 within some seconds", func(t *testing.T) {
+	t.Run("spread through a domain of 90 boxes", func(t *testing.T) {
 		d := newDomain(t, 90)
 		d.run(90 * clock.Second)
 		for _, node := range d.nodes {
 			assert.GreaterOrEqual(t, len(node.FactsOf()), 85)
 		}
 	})
-	t.Run("of another domain are kept for a while", func(t *testing.T) {
+	t.Run("of another domain are kept for a limited time", func(t *testing.T) {
 		d := newDomain(t, 2)
-		far := NewNode(Box{Name: "far", Domain: "south"}, 1)
-		out := far.TellSums(address(0), NewID("south"), d.now, Facts{TableOffset: 5, Boxes: 3})
+		remote := NewNode(Box{Name: "far", Domain: "south"}, 1)
+		out := remote.TellSums(address(0), NewID("south"), d.now, Facts{TableOffset: 5, Boxes: 3})
 		_, err := d.nodes[0].Receive(d.now, "far", out[0].Body)
 		require.NoError(t, err)
 		assert.EqualValues(t, 3, d.nodes[0].DomainFacts(d.now, 1000)[NewID("south")].Boxes)
 		assert.Empty(t, d.nodes[0].DomainFacts(d.now+2000, 1000))
 		assert.Len(t, d.nodes[0].Foreign(d.now, 1000), 1)
-		assert.Equal(t, []string{boxName(0)}, d.nodes[0].Live(), "no member here")
+		assert.Equal(t, []string{boxName(0)}, d.nodes[0].Live(), "the box is not a member")
 	})
 }
 
@@ -276,7 +277,7 @@
 		receiver := NewNode(Box{Name: "b", Domain: "north"}, 1)
 		if _, err := receiver.Receive(1, "x", body); err != nil {
 			var p packet
-			if cbor.Unmarshal(body, &p) == nil && p.check() == nil && len(p.Updates) < maxListed && len(p.Facts) < maxListed {
+			if cbor.Unmarshal(body, &p) == nil && p.validate() == nil && len(p.Updates) < maxArrayLength && len(p.Facts) < maxArrayLength {
 				t.Logf("dropped: %v", err)
 			}
 		}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -6,39 +6,39 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// probe is a ping that waits for its answer.
+// probe is a ping that has not been answered yet.
 type probe struct {
-	target  ID
-	sentMs  clock.Millis
-	relayed bool
+	target            ID
+	sentMs            clock.Millis
+	indirectRequested bool
 }
 
-// relay is a ping made for another box.
-type relay struct {
+// indirectPing is a ping sent on behalf of another box.
+type indirectPing struct {
 	origin   ID
 	sequence uint32
 	sentMs   clock.Millis
 }
 
-// judgeProbes asks others to try a box that left a ping unanswered for a period
-// and, when that brought nothing in two more, makes it a suspect.
-func (n *Node) judgeProbes(now clock.Millis) []Outgoing {
+// checkProbes requests indirect pings of a box that has not answered a ping for one period. If
+// there is no answer after two more periods, the box becomes a suspect.
+func (n *Node) checkProbes(now clock.Millis) []Outgoing {
 	out := []Outgoing{}
-	for _, sequence := range n.probeOrder() {
+	for _, sequence := range n.sortedProbes() {
 		p := n.probes[sequence]
 		age := now - p.sentMs
-		if !p.relayed && age >= n.settings.PeriodMs {
-			p.relayed = true
-			out = append(out, n.askRelays(sequence, p.target)...)
+		if !p.indirectRequested && age >= n.settings.PeriodMs {
+			p.indirectRequested = true
+			out = append(out, n.requestIndirectPings(sequence, p.target)...)
 		}
 		if age >= suspectPeriods*n.settings.PeriodMs {
 			delete(n.probes, sequence)
 			n.suspect(p.target, p.sentMs, now)
 		}
 	}
-	for sequence, r := range n.relays {
+	for sequence, r := range n.indirectPings {
 		if now-r.sentMs > suspectPeriods*n.settings.PeriodMs {
-			delete(n.relays, sequence)
+			delete(n.indirectPings, sequence)
 		}
 	}
 	return out
@@ -46,8 +46,9 @@
 
 const suspectPeriods = 3
 
-// probeOrder keeps runs with the same seed the same.
-func (n *Node) probeOrder() []uint32 {
+// sortedProbes returns the sequence numbers of the probes in a fixed order, so that runs with the
+// same seed are reproducible.
+func (n *Node) sortedProbes() []uint32 {
 	sequences := make([]uint32, 0, len(n.probes))
 	for sequence := range n.probes {
 		sequences = append(sequences, sequence)
@@ -63,7 +64,7 @@
 	}
 	m.status = Suspect
 	m.silentSince = since
-	n.news.add(update{ID: id, Incarnation: m.incarnation, Status: Suspect, SilentMs: uint32(now - since)}, n.size())
+	n.updates.add(update{ID: id, Incarnation: m.incarnation, Status: Suspect, SilentMs: uint32(now - since)}, n.size())
 }
 
 func (n *Node) removeSilent(now clock.Millis) {
@@ -71,8 +72,8 @@
 		switch {
 		case m.status == Suspect && now-m.silentSince >= n.settings.RemoveMs:
 			n.remove(id, m, Dead, now)
-			n.news.add(update{ID: id, Incarnation: m.incarnation, Status: Dead}, n.size())
-		case m.status > Suspect && now-m.goneMs >= n.settings.ForgetMs:
+			n.updates.add(update{ID: id, Incarnation: m.incarnation, Status: Dead}, n.size())
+		case m.status > Suspect && now-m.removedMs >= n.settings.ForgetMs:
 			delete(n.members, id)
 		}
 	}
@@ -80,21 +81,21 @@
 
 func (n *Node) remove(id ID, m *member, status Status, now clock.Millis) {
 	if m.status <= Suspect {
-		n.alive--
+		n.aliveCount--
 		n.changed = true
 	}
 	m.status = status
-	m.goneMs = now
+	m.removedMs = now
 	n.facts.forget(id)
 }
 
-func (n *Node) askRelays(sequence uint32, target ID) []Outgoing {
+func (n *Node) requestIndirectPings(sequence uint32, target ID) []Outgoing {
 	out := []Outgoing{}
-	for _, id := range n.randomLive(relayFanout + 1) {
-		if id == target || len(out) == relayFanout {
+	for _, id := range n.randomLive(indirectFanout + 1) {
+		if id == target || len(out) == indirectFanout {
 			continue
 		}
-		p := n.packet(kindRelay, sequence)
+		p := n.packet(kindPingRequest, sequence)
 		p.Target = target
 		out = append(out, n.send(n.members[id].box.GossipAddress, p)...)
 	}
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -4,8 +4,8 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Receive takes in a message and returns the answers to it. An error means that
-// the message was dropped.
+// Receive processes a message and returns the messages to send in response. An error means that the
+// message was dropped.
 func (n *Node) Receive(now clock.Millis, from string, body []byte) ([]Outgoing, error) {
 	p, err := decode(body)
 	if err != nil {
@@ -16,26 +16,25 @@
 	}
 	out := []Outgoing{}
 	for _, u := range p.Updates {
-		out = append(out, n.hear(u, now, p.Kind != kindMembers)...)
+		out = append(out, n.applyUpdate(u, now, p.Kind != kindMembers)...)
 	}
-	n.hearFrom(&p)
-	n.hearFacts(&p, now)
-	return append(out, n.answer(now, from, &p)...), nil
+	n.refreshSender(&p)
+	n.applyFacts(&p, now)
+	return append(out, n.handle(now, from, &p)...), nil
 }
 
-// hearFacts takes in facts about live boxes and sums of other domains.
-func (n *Node) hearFacts(p *packet, now clock.Millis) {
+// applyFacts stores facts about live boxes and summed facts of other failure domains.
+func (n *Node) applyFacts(p *packet, now clock.Millis) {
 	for _, f := range p.Facts {
 		m := n.members[f.ID]
 		if f.Facts.Boxes > 0 || m != nil && m.status <= Suspect {
-			n.facts.hear(f, now)
+			n.facts.add(f, now)
 		}
 	}
 }
 
-// hearFrom takes a packet as evidence that its sender lives, when the sender
-// speaks with an incarnation that was not given up.
-func (n *Node) hearFrom(p *packet) {
+// refreshSender marks a suspect sender as alive, unless the packet has an outdated incarnation.
+func (n *Node) refreshSender(p *packet) {
 	m := n.members[p.From]
 	if m == nil || m.status != Suspect || p.Incarnation < m.incarnation {
 		return
@@ -44,34 +43,34 @@
 	m.incarnation = p.Incarnation
 }
 
-func (n *Node) answer(now clock.Millis, from string, p *packet) []Outgoing {
+func (n *Node) handle(now clock.Millis, from string, p *packet) []Outgoing {
 	switch p.Kind {
 	case kindPing:
 		return n.send(from, n.packet(kindAck, p.Sequence))
 	case kindAck:
-		return n.hearAck(p)
-	case kindRelay:
-		return n.relay(now, p)
+		return n.handleAck(p)
+	case kindPingRequest:
+		return n.indirectPing(now, p)
 	case kindJoin:
 		return n.sendMembers(from, p)
-	case kindMembers, kindSums:
+	case kindMembers, kindDomainFacts:
 		return nil
 	default:
 		return nil
 	}
 }
 
-// hearAck ends a probe, or passes the answer on to the box it was made for.
-func (n *Node) hearAck(p *packet) []Outgoing {
-	if asked, found := n.probes[p.Sequence]; found && (asked.target == p.From || asked.target == p.Target) {
+// handleAck completes a probe, or forwards the ack to the box that requested an indirect ping.
+func (n *Node) handleAck(p *packet) []Outgoing {
+	if probed, found := n.probes[p.Sequence]; found && (probed.target == p.From || probed.target == p.Target) {
 		delete(n.probes, p.Sequence)
 		return nil
 	}
-	r, found := n.relays[p.Sequence]
+	r, found := n.indirectPings[p.Sequence]
 	if !found {
 		return nil
 	}
-	delete(n.relays, p.Sequence)
+	delete(n.indirectPings, p.Sequence)
 	origin := n.members[r.origin]
 	if origin == nil {
 		return nil
@@ -81,17 +80,17 @@
 	return n.send(origin.box.GossipAddress, forwarded)
 }
 
-func (n *Node) relay(now clock.Millis, p *packet) []Outgoing {
+func (n *Node) indirectPing(now clock.Millis, p *packet) []Outgoing {
 	target := n.members[p.Target]
 	if target == nil {
 		return nil
 	}
 	n.sequence++
-	n.relays[n.sequence] = relay{origin: p.From, sequence: p.Sequence, sentMs: now}
+	n.indirectPings[n.sequence] = indirectPing{origin: p.From, sequence: p.Sequence, sentMs: now}
 	return n.send(target.box.GossipAddress, n.packet(kindPing, n.sequence))
 }
 
-// membersPerPacket keeps the answer to a join within the size of a packet.
+// membersPerPacket keeps each response to a join request within the maximum packet size.
 const membersPerPacket = 10
 
 func (n *Node) sendMembers(to string, p *packet) []Outgoing {
@@ -114,14 +113,15 @@
 	return out
 }
 
-// hear takes in news about a box, and spreads it unless all know it. Higher
-// incarnations win; within one, the later status does.
-func (n *Node) hear(u update, now clock.Millis, spread bool) []Outgoing {
+// applyUpdate processes an update about a box and queues it for gossip if forward is set. Updates
+// in the response to a join request are not forwarded, because the other boxes know them. A higher
+// incarnation takes precedence. Within an incarnation the higher status does.
+func (n *Node) applyUpdate(u update, now clock.Millis, forward bool) []Outgoing {
 	if u.ID == n.id {
-		return n.contradict(u)
+		return n.refute(u)
 	}
 	if u.Box != nil && u.Box.Domain != n.self.Domain {
-		n.meetForeign(*u.Box, now)
+		n.recordForeign(*u.Box, now)
 		return nil
 	}
 	m := n.members[u.ID]
@@ -134,25 +134,25 @@
 	} else if u.Incarnation < m.incarnation || u.Incarnation == m.incarnation && u.Status <= m.status {
 		return nil
 	}
-	n.change(u, m, now)
-	if spread {
-		n.news.add(u, n.size())
+	n.updateMember(u, m, now)
+	if forward {
+		n.updates.add(u, n.size())
 	}
 	return nil
 }
 
-// contradict answers news that this box is suspect or gone: with a higher
-// incarnation, told to several boxes at once.
-func (n *Node) contradict(u update) []Outgoing {
+// refute responds to an update that declares this box suspect, dead or departed. It raises the
+// incarnation and pings several boxes immediately to spread it.
+func (n *Node) refute(u update) []Outgoing {
 	if u.Incarnation < n.incarnation || u.Status == Alive && u.Incarnation == n.incarnation || n.leaving {
 		return nil
 	}
 	n.incarnation = u.Incarnation + 1
-	n.announce()
-	return n.pingSome(refuteFanout)
+	n.announceAlive()
+	return n.pingRandom(refuteFanout)
 }
 
-func (n *Node) change(u update, m *member, now clock.Millis) {
+func (n *Node) updateMember(u update, m *member, now clock.Millis) {
 	wasLive := m.status <= Suspect
 	isLive := u.Status <= Suspect
 	m.incarnation = u.Incarnation
@@ -161,7 +161,7 @@
 	}
 	switch {
 	case isLive && !wasLive:
-		n.alive++
+		n.aliveCount++
 		n.changed = true
 		m.status = u.Status
 	case !isLive:
--- a/internal/membership/spread.go
+++ b/internal/membership/spread.go
@@ -7,100 +7,101 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// news is the updates that still spread, each a few times: the number grows with
-// the logarithm of the boxes, which reaches all of them.
-type news struct {
-	items []newsItem
+// updates is the queue of updates that are still being gossiped. Each is sent a limited number of
+// times that grows with the logarithm of the number of boxes, which is enough to reach all of them.
+type updates struct {
+	items []queuedUpdate
 }
 
-type newsItem struct {
-	update update
-	left   int
+type queuedUpdate struct {
+	update    update
+	sendsLeft int
 }
 
-const spreadFactor = 2
+const retransmitFactor = 2
 
-func newNews() *news { return &news{} }
+func newUpdateQueue() *updates { return &updates{} }
 
-// add spreads an update in place of older ones about the same box.
-func (s *news) add(u update, boxes int) {
-	s.items = slices.DeleteFunc(s.items, func(item newsItem) bool { return item.update.ID == u.ID })
-	s.items = append(s.items, newsItem{update: u, left: spreadFactor * bits.Len(uint(boxes))})
+// add queues an update and replaces older ones about the same box.
+func (s *updates) add(u update, boxes int) {
+	s.items = slices.DeleteFunc(s.items, func(item queuedUpdate) bool { return item.update.ID == u.ID })
+	s.items = append(s.items, queuedUpdate{update: u, sendsLeft: retransmitFactor * bits.Len(uint(boxes))})
 }
 
-// take returns the updates that were sent least so far and counts them as sent.
-func (s *news) take(count int) []update {
-	slices.SortStableFunc(s.items, func(a, b newsItem) int { return b.left - a.left })
-	taken := []update{}
+// next returns the updates that were sent least often and counts them as sent.
+func (s *updates) next(count int) []update {
+	slices.SortStableFunc(s.items, func(a, b queuedUpdate) int { return b.sendsLeft - a.sendsLeft })
+	selected := []update{}
 	for i := range s.items[:min(count, len(s.items))] {
-		taken = append(taken, s.items[i].update)
-		s.items[i].left--
+		selected = append(selected, s.items[i].update)
+		s.items[i].sendsLeft--
 	}
-	s.items = slices.DeleteFunc(s.items, func(item newsItem) bool { return item.left <= 0 })
-	return taken
+	s.items = slices.DeleteFunc(s.items, func(item queuedUpdate) bool { return item.sendsLeft <= 0 })
+	return selected
 }
 
-// factBook holds the newest facts of every box, and sums of other failure
-// domains, and sends them on in turn.
-type factBook struct {
-	entries map[ID]heardFacts
-	// turns orders the entries: those not sent for longest first.
-	turns []ID
-	// newest is what was heard last and not yet sent on.
+// factStore holds the latest facts of every box and the summed facts of other failure domains, and
+// selects the facts to gossip.
+type factStore struct {
+	entries map[ID]receivedFacts
+	// sendOrder lists the entries for round-robin sending. The entry that was sent longest ago
+	// comes first.
+	sendOrder []ID
+	// newest is the entry that was received last and has not been sent since.
 	newest ID
 	own    factEntry
 }
 
-type heardFacts struct {
+type receivedFacts struct {
 	factEntry
-	heardMs clock.Millis
+	receivedMs clock.Millis
 }
 
-// newFactBook starts the versions of this box's facts at its incarnation, which
-// is its start in seconds: versions grow more slowly than the seconds, so those
-// of a restarted box are newer than all it told before.
-func newFactBook(incarnation uint32) *factBook {
-	return &factBook{entries: map[ID]heardFacts{}, own: factEntry{Version: incarnation}}
+// newFactStore returns an empty store. The versions of this box's facts start at its incarnation,
+// which is its start time in seconds. Versions grow by less than one a second, so the facts of a
+// restarted box are newer than all that it sent before.
+func newFactStore(incarnation uint32) *factStore {
+	return &factStore{entries: map[ID]receivedFacts{}, own: factEntry{Version: incarnation}}
 }
 
-func (b *factBook) setOwn(id ID, facts Facts) {
+func (b *factStore) setOwn(id ID, facts Facts) {
 	b.own = factEntry{ID: id, Version: b.own.Version + 1, Facts: facts}
 }
 
-// hear takes in an entry that is newer than the known one. The newest is sent on
-// next, the others in turn: fresh facts travel fast and none is left out.
-func (b *factBook) hear(entry factEntry, now clock.Millis) {
+// add stores an entry that is newer than the known one. The entry that was received last is sent
+// next and the others in round-robin order, so that new facts spread fast and none is left out.
+func (b *factStore) add(entry factEntry, now clock.Millis) {
 	known, found := b.entries[entry.ID]
 	if found && int32(entry.Version-known.Version) <= 0 {
 		return
 	}
-	b.entries[entry.ID] = heardFacts{factEntry: entry, heardMs: now}
+	b.entries[entry.ID] = receivedFacts{factEntry: entry, receivedMs: now}
 	b.newest = entry.ID
 	if !found {
-		b.turns = append(b.turns, entry.ID)
+		b.sendOrder = append(b.sendOrder, entry.ID)
 	}
 }
 
-func (b *factBook) forget(id ID) {
+func (b *factStore) forget(id ID) {
 	delete(b.entries, id)
-	b.turns = slices.DeleteFunc(b.turns, func(other ID) bool { return other == id })
+	b.sendOrder = slices.DeleteFunc(b.sendOrder, func(other ID) bool { return other == id })
 }
 
-// take returns the own entry, when it is asked for, and the next others in turn.
-func (b *factBook) take(own bool, count int) []factEntry {
-	taken := []factEntry{}
+// next returns this box's entry if requested, and the next entries of other boxes.
+func (b *factStore) next(own bool, count int) []factEntry {
+	selected := []factEntry{}
 	if own && b.own.ID != 0 {
-		taken = append(taken, b.own)
+		selected = append(selected, b.own)
 	}
 	if newest, known := b.entries[b.newest]; known && count > 1 {
-		taken = append(taken, newest.factEntry)
+		selected = append(selected, newest.factEntry)
 		count--
 	}
 	b.newest = 0
-	others := min(count, len(b.turns))
-	for _, id := range b.turns[:others] {
-		taken = append(taken, b.entries[id].factEntry)
+	others := min(count, len(b.sendOrder))
+	for _, id := range b.sendOrder[:others] {
+		selected = append(selected, b.entries[id].factEntry)
 	}
-	b.turns = append(slices.Clone(b.turns[others:]), b.turns[:others]...)
-	return taken
+	b.sendOrder = append(slices.Clone(b.sendOrder[others:]), b.sendOrder[:others]...)
+	return selected
 }
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -1,7 +1,7 @@
-// Package membership tells which boxes of a failure domain live. Boxes ping each
-// other over UDP; an unanswered ping makes a box suspect, and one that does not
-// contradict within a few seconds is removed. Small facts about each box ride
-// along. The state machine reads no clock and sends nothing itself.
+// Package membership detects which boxes of a failure domain are alive. Boxes ping each other over
+// UDP. A box that leaves a ping unanswered becomes a suspect, and is removed unless it refutes the
+// suspicion within a few seconds. Pings and acks also carry small facts about the boxes. The state
+// machine neither reads a clock nor sends messages itself.
 package membership
 
 import (
@@ -12,43 +12,43 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrMalformed means that a packet could not be decoded.
+// ErrMalformed is returned for a packet that can't be decoded or fails validation.
 var ErrMalformed = errors.New("malformed packet")
 
-// ID names a box on the wire: a short hash of its name.
+// ID is the short hash of a name that identifies a box on the wire.
 type ID uint32
 
-// NewID returns the id of a box.
+// NewID returns the ID for a name.
 func NewID(name string) ID { return ID(xxhash.Sum64String(name)) }
 
-// kind is what a packet asks for.
+// kind is the type of a packet.
 type kind uint8
 
 const (
 	kindPing kind = iota + 1
 	kindAck
-	// kindRelay asks the receiver to ping the target for the sender.
-	kindRelay
-	// kindJoin asks for all members; kindMembers answers it.
+	// kindPingRequest asks the receiver to ping the target on behalf of the sender.
+	kindPingRequest
+	// kindJoin requests all members, and kindMembers is the response.
 	kindJoin
 	kindMembers
-	// kindSums tells another failure domain the sums of this one.
-	kindSums
+	// kindDomainFacts sends the summed facts of this failure domain to another one.
+	kindDomainFacts
 )
 
-// Status is where a box stands.
+// Status is the liveness state of a box.
 type Status uint8
 
-// Statuses of a box, in the order of their precedence within an incarnation.
+// Statuses of a box, by ascending precedence within an incarnation.
 const (
 	Alive Status = iota + 1
 	Suspect
 	Dead
-	// Left is a planned stop. It is final for an incarnation.
+	// Left is the status after a planned stop. It is final for an incarnation.
 	Left
 )
 
-// String returns the status in words.
+// String returns the name of the status.
 func (s Status) String() string {
 	switch s {
 	case Alive:
@@ -64,21 +64,21 @@
 	}
 }
 
-// packet is one datagram. Arrays keep the field names off the wire.
+// packet is one datagram. It is encoded as an array to keep field names off the wire.
 type packet struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        kind
 	Sequence    uint32
 	From        ID
 	Incarnation uint32
-	// Target is the box to ping in kindRelay and the box that answered in an
-	// ack that was relayed; else 0.
+	// Target is the box to ping in a kindPingRequest packet and the box that answered in a
+	// forwarded ack. It is 0 otherwise.
 	Target  ID
 	Updates []update
 	Facts   []factEntry
 }
 
-// update is news about one box.
+// update is a status change of one box.
 type update struct {
 	_           struct{} `cbor:",toarray"`
 	ID          ID
@@ -86,11 +86,11 @@
 	Status      Status
 	// SilentMs is how long a suspect has been silent.
 	SilentMs uint32
-	// Box is set in news of a box that lives, for those that don't know it.
+	// Box is set in updates about a live box, for receivers that don't know it.
 	Box *Box
 }
 
-// Box is what the fleet knows of a box.
+// Box describes a box to the rest of the fleet.
 type Box struct {
 	_             struct{} `cbor:",toarray"`
 	Name          string
@@ -99,30 +99,30 @@
 	PeerAddress   string
 }
 
-// Facts are small facts that a box tells of itself.
+// Facts are small facts that a box gossips about itself.
 type Facts struct {
 	_ struct{} `cbor:",toarray"`
-	// TableOffset is the offset that its table has reached.
+	// TableOffset is the log offset that the box's table has reached.
 	TableOffset int64
-	// InFlight is how many requests it runs and keeps waiting.
+	// InFlight is the number of running and queued requests.
 	InFlight uint32
-	// Demand is how much its heaviest limited organisations ask for.
+	// Demand is the demand of the limited organisations with the highest request rates.
 	Demand []Demand
-	// Boxes is how many boxes these facts sum up; 0 for the facts of one.
+	// Boxes is the number of boxes whose facts are summed, or 0 for the facts of a single box.
 	Boxes uint32
 }
 
-// Demand is how many requests a second an organisation sends to one box.
+// Demand is the rate of requests that an organisation sends to one box.
 type Demand struct {
 	_            struct{} `cbor:",toarray"`
 	Organisation uint32
 	PerSecond    uint32
 }
 
-// OrganisationID returns the short name of an organisation on the wire.
+// OrganisationID returns the short hash that identifies an organisation on the wire.
 func OrganisationID(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// factEntry is the facts of one box with their version.
+// factEntry is the versioned facts of one box.
 type factEntry struct {
 	_       struct{} `cbor:",toarray"`
 	ID      ID
@@ -131,16 +131,16 @@
 }
 
 const (
-	maxNameBytes = 64
-	maxListed    = 128
-	maxDemand    = 16
+	maxNameBytes   = 64
+	maxArrayLength = 128
+	maxDemand      = 16
 )
 
-var decoding = mustDecMode()
+var decMode = mustDecMode()
 
 func mustDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
-		MaxArrayElements: maxListed, MaxMapPairs: 16, MaxNestedLevels: 8,
+		MaxArrayElements: maxArrayLength, MaxMapPairs: 16, MaxNestedLevels: 8,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
 	}.DecMode()
 	if err != nil {
@@ -149,7 +149,7 @@
 	return mode
 }
 
-// encode returns a packet's bytes.
+// encode encodes a packet.
 func encode(p *packet) ([]byte, error) {
 	body, err := cbor.Marshal(p)
 	if err != nil {
@@ -158,35 +158,35 @@
 	return body, nil
 }
 
-// decode reads and checks a packet.
+// decode decodes and validates a packet.
 func decode(body []byte) (packet, error) {
 	var p packet
-	if err := decoding.Unmarshal(body, &p); err != nil {
+	if err := decMode.Unmarshal(body, &p); err != nil {
 		return packet{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	return p, p.check()
+	return p, p.validate()
 }
 
-// fits reports whether a box's names can be used, and whether the id is its own.
-func (b *Box) fits(id ID) bool {
+// valid reports whether the names of a box are within bounds and its name matches the ID.
+func (b *Box) valid(id ID) bool {
 	return b.Name != "" && len(b.Name) <= maxNameBytes && len(b.Domain) <= maxNameBytes && NewID(b.Name) == id
 }
 
-func (p *packet) check() error {
-	if p.Kind < kindPing || p.Kind > kindSums {
+func (p *packet) validate() error {
+	if p.Kind < kindPing || p.Kind > kindDomainFacts {
 		return fmt.Errorf("%w: kind %d", ErrMalformed, p.Kind)
 	}
 	for _, u := range p.Updates {
 		if u.Status < Alive || u.Status > Left {
 			return fmt.Errorf("%w: status %d", ErrMalformed, u.Status)
 		}
-		if u.Box != nil && !u.Box.fits(u.ID) {
-			return fmt.Errorf("%w: name of box", ErrMalformed)
+		if u.Box != nil && !u.Box.valid(u.ID) {
+			return fmt.Errorf("%w: invalid box name", ErrMalformed)
 		}
 	}
 	for _, f := range p.Facts {
 		if len(f.Facts.Demand) > maxDemand {
-			return fmt.Errorf("%w: demand of box", ErrMalformed)
+			return fmt.Errorf("%w: too many demand entries", ErrMalformed)
 		}
 	}
 	return nil
