--- a/internal/backing/backing.go
+++ b/internal/backing/backing.go
@@ -1,6 +1,6 @@
-// Package backing knows the wire form of the backing services that
-// dooryard-router uses: the append-only log, the weight store and the list of
-// boxes. No other package does.
+// Package backing contains clients of the backing services that dooryard-router
+// uses: the append-only log, the weight store and the list of boxes. It is the
+// only package that knows their wire format.
 package backing
 
 import (
@@ -15,20 +15,20 @@
 	"dooryard.example/dooryard/internal/jsonhttp"
 )
 
-// Sentinel errors of the platform.
+// Errors of calls to the platform.
 var (
-	// ErrUnavailable means that the call had no effect that is known of: the
-	// platform may be down, slow, or its reply may have been lost.
+	// ErrUnavailable means that it is unknown whether the call had an effect: the
+	// platform may be down or slow, or its reply may have been lost.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrRefused means that the platform took the call and changed nothing.
-	ErrRefused = errors.New("platform refused the call")
-	// ErrThrottled is an ErrRefused for reasons of rate.
-	ErrThrottled = errors.New("platform rate limit")
-	// ErrExpired means that the wanted records are past retention.
-	ErrExpired = errors.New("log records expired")
+	// ErrRefused means that the platform rejected the call and changed nothing.
+	ErrRefused = errors.New("platform rejected the call")
+	// ErrThrottled means that the call exceeded a rate limit. It always comes with ErrRefused.
+	ErrThrottled = errors.New("platform rate limit exceeded")
+	// ErrExpired means that the requested records are past retention.
+	ErrExpired = errors.New("log records past retention")
 )
 
-const maxPageBytes = 64 << 20
+const maxReplyBytes = 64 << 20
 
 // Record is one entry of a log stream.
 type Record struct {
@@ -37,21 +37,21 @@
 	Data   json.RawMessage `json:"data"`
 }
 
-// Page is the answer to one read of a log stream.
+// Page is the result of one read of a log stream.
 type Page struct {
 	Records []Record `json:"records"`
-	// FirstOffset is the oldest offset that the log still keeps.
+	// FirstOffset is the oldest retained offset.
 	FirstOffset int64 `json:"first_offset"`
-	// EndOffset is the offset that the next append will get.
+	// EndOffset is the offset of the next record to be appended.
 	EndOffset int64 `json:"end_offset"`
 }
 
-// AppendRequest is the body of an append.
+// AppendRequest is the request body of an append.
 type AppendRequest struct {
 	Records []json.RawMessage `json:"records"`
 }
 
-// AppendReply names the offset of the first appended record.
+// AppendReply is the reply to an append. It holds the offset of the first appended record.
 type AppendReply struct {
 	Offset int64 `json:"offset"`
 }
@@ -62,8 +62,9 @@
 	Client *http.Client
 }
 
-// Append adds the records to a stream as one step and returns the offset of the
-// first. ErrRefused means that nothing was added; ErrUnavailable leaves it open.
+// Append atomically appends the records to a stream and returns the offset of the
+// first. After ErrRefused, nothing was appended. After ErrUnavailable, the records
+// may or may not have been appended.
 func (l Log) Append(ctx context.Context, stream string, records ...json.RawMessage) (int64, error) {
 	body, err := json.Marshal(AppendRequest{Records: records})
 	if err != nil {
@@ -74,8 +75,8 @@
 	return reply.Offset, err
 }
 
-// Read returns records of a stream from an offset on, waiting up to waitMs for
-// the first one. ErrExpired means that the offset is older than the log keeps.
+// Read returns records of a stream starting at an offset. It long-polls for up to
+// waitMs for the first one. ErrExpired means that the offset is past retention.
 func (l Log) Read(ctx context.Context, stream string, from int64, limit int, waitMs clock.Millis) (Page, error) {
 	url := l.URL + "/v1/logs/" + stream + "/records?from=" + strconv.FormatInt(from, 10) +
 		"&limit=" + strconv.Itoa(limit) + "&wait_ms=" + strconv.FormatInt(int64(waitMs), 10)
@@ -84,12 +85,12 @@
 		return Page{}, err
 	}
 	if from < page.FirstOffset {
-		return page, fmt.Errorf("%w: wanted %d, oldest is %d", ErrExpired, from, page.FirstOffset)
+		return page, fmt.Errorf("%w: requested offset %d, oldest is %d", ErrExpired, from, page.FirstOffset)
 	}
 	return page, nil
 }
 
-// BoxState is what the platform says of a box or an upstream.
+// BoxState is the state of a box or an upstream as the platform reports it.
 type BoxState string
 
 // States of a listed box.
@@ -98,7 +99,7 @@
 	BoxLeaving BoxState = "leaving"
 )
 
-// ListedBox is one entry of the platform's lagging list.
+// ListedBox is one entry of the platform's list of boxes and upstreams.
 type ListedBox struct {
 	Name          string   `json:"name"`
 	FailureDomain string   `json:"failure_domain"`
@@ -107,7 +108,7 @@
 	State         BoxState `json:"state"`
 }
 
-// BoxListReply is the platform's lagging list of boxes and upstreams.
+// BoxListReply is the platform's list of boxes and upstreams, which is eventually consistent.
 type BoxListReply struct {
 	Boxes     []ListedBox `json:"boxes"`
 	Upstreams []ListedBox `json:"upstreams"`
@@ -119,15 +120,15 @@
 	Client *http.Client
 }
 
-// DatedList is a list with the version that the platform gave it.
+// DatedList is a list with its version, the entity tag assigned by the platform.
 type DatedList struct {
 	BoxListReply
 	version string
 }
 
-// Get returns the list of one failure domain, or of all when domain is empty,
-// as the platform sees it now, which may lag by seconds. When nothing has
-// changed since the known list, that one comes back and costs few bytes.
+// Get returns the platform's current list of one failure domain, or of all failure
+// domains if domain is empty. The list may lag by seconds. It makes a conditional
+// request, so that an unchanged list costs few bytes and known is returned.
 func (b BoxList) Get(ctx context.Context, domain string, known DatedList) (DatedList, error) {
 	header := http.Header{}
 	if known.version != "" {
@@ -153,8 +154,8 @@
 	Client *http.Client
 }
 
-// Reserve asks for the right to start one load of a model now. ErrThrottled
-// means that the store's rate is used up.
+// Reserve requests a reservation to start loading a model now. ErrThrottled means
+// that the rate limit of the store is exhausted.
 func (w WeightStore) Reserve(ctx context.Context, model string) error {
 	return call(ctx, w.Client, http.MethodPost, w.URL+"/v1/weights/"+model+"/reservations", []byte("{}"), nil)
 }
@@ -164,9 +165,9 @@
 	return err
 }
 
-// roundTrip makes a call and decodes its answer, if it has one to decode.
+// roundTrip makes a call and decodes the reply body into value, unless value is nil or the status is 304.
 func roundTrip(ctx context.Context, c jsonhttp.Call, value any) (jsonhttp.Reply, error) {
-	c.Limit = maxPageBytes
+	c.Limit = maxReplyBytes
 	reply, err := c.Do(ctx)
 	if err != nil {
 		return jsonhttp.Reply{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
