--- a/internal/logstream/follower.go
+++ b/internal/logstream/follower.go
@@ -12,40 +12,40 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Bounds of one read and of the waits between failed ones.
+// Limits of one read, and the backoff between failed reads.
 const (
-	pageLimit                 = 1000
-	longPollMs   clock.Millis = 10_000
-	firstDelayMs clock.Millis = 50
-	lastDelayMs  clock.Millis = 1000
+	pageLimit                    = 1000
+	longPollMs      clock.Millis = 10_000
+	minRetryDelayMs clock.Millis = 50
+	maxRetryDelayMs clock.Millis = 1000
 )
 
-// ErrGap means that a source left out records.
+// ErrGap means that a source skipped records.
 var ErrGap = errors.New("records missing")
 
-// Source is one way to the stream's records, by name for logs and status.
+// Source is a source of the stream's records. Its name is used in logs and status reports.
 type Source struct {
 	Name string
 	Read func(ctx context.Context, from int64, limit int, waitMs clock.Millis) (backing.Page, error)
 }
 
-// Follower reads a stream for as long as its context lives.
+// Follower reads a stream continuously and passes each record to a function.
 type Follower struct {
 	clock   clock.Clock
 	logger  *zap.Logger
 	sources func() []Source
-	// record takes the next record. Offsets come in order without gaps.
+	// record is called for each record, in order of offsets and without gaps.
 	record func(backing.Record)
-	// expired is called when a source no longer has the wanted offset. It
-	// returns the offset to go on from.
+	// expired is called when the requested offset is past the retention of a
+	// source. It returns the offset at which to continue.
 	expired func(ctx context.Context, from int64) (int64, error)
 
-	next    atomic.Int64
-	lastOK  atomic.Int64
-	current atomic.Pointer[string]
+	next          atomic.Int64
+	lastReadMs    atomic.Int64
+	currentSource atomic.Pointer[string]
 }
 
-// Option changes a Follower under construction.
+// Option configures a Follower.
 type Option func(*Follower)
 
 // WithClock replaces the system clock.
@@ -54,7 +54,8 @@
 // WithLogger sets the logger.
 func WithLogger(logger *zap.Logger) Option { return func(f *Follower) { f.logger = logger } }
 
-// WithExpired sets what happens when the wanted offset is past retention.
+// WithExpired sets the function that is called when the requested offset is past
+// retention. It returns the offset at which to continue.
 func WithExpired(expired func(ctx context.Context, from int64) (int64, error)) Option {
 	return func(f *Follower) { f.expired = expired }
 }
@@ -62,8 +63,8 @@
 // WithStart sets the first offset to read.
 func WithStart(offset int64) Option { return func(f *Follower) { f.next.Store(offset) } }
 
-// NewFollower returns a follower that tries the sources in order, each time
-// anew, and hands records to the function.
+// NewFollower returns a follower that passes each record to the record function.
+// Each read tries the sources in order, starting with the first.
 func NewFollower(sources func() []Source, record func(backing.Record), options ...Option) *Follower {
 	f := &Follower{
 		clock: clock.New(), logger: zap.NewNop(), sources: sources, record: record,
@@ -77,10 +78,10 @@
 	return f
 }
 
-// Next returns the offset that will be read next.
+// Next returns the next offset to read.
 func (f *Follower) Next() int64 { return f.next.Load() }
 
-// Advance skips records that the caller has got on another way.
+// Advance skips the records before offset, which the caller has received in another way.
 func (f *Follower) Advance(offset int64) {
 	for {
 		next := f.next.Load()
@@ -90,44 +91,44 @@
 	}
 }
 
-// LastReadMs returns the instant of the last read that a source answered.
-func (f *Follower) LastReadMs() clock.Millis { return clock.Millis(f.lastOK.Load()) }
+// LastReadMs returns the time of the last successful read.
+func (f *Follower) LastReadMs() clock.Millis { return clock.Millis(f.lastReadMs.Load()) }
 
-// Source returns the name of the source that answered last, or "".
+// Source returns the name of the source of the last successful read, or "".
 func (f *Follower) Source() string {
-	if name := f.current.Load(); name != nil {
+	if name := f.currentSource.Load(); name != nil {
 		return *name
 	}
 	return ""
 }
 
-// Run follows the stream until the context ends.
+// Run follows the stream until the context is canceled.
 func (f *Follower) Run(ctx context.Context) {
-	delayMs := firstDelayMs
+	delayMs := minRetryDelayMs
 	for ctx.Err() == nil {
 		if f.Poll(ctx, longPollMs) == nil {
-			delayMs = firstDelayMs
+			delayMs = minRetryDelayMs
 			continue
 		}
 		_ = f.clock.Sleep(ctx, delayMs)
-		delayMs = min(2*delayMs, lastDelayMs)
+		delayMs = min(2*delayMs, maxRetryDelayMs)
 	}
 }
 
-// Poll makes one read from the first source that answers. Its error joins those
-// of all sources.
+// Poll makes one read, from the first source that succeeds. If all sources fail,
+// it returns their joined errors.
 func (f *Follower) Poll(ctx context.Context, waitMs clock.Millis) error {
-	failures := []error{}
+	errs := []error{}
 	for _, source := range f.sources() {
 		err := f.pollSource(ctx, source, waitMs)
 		if err == nil {
-			f.lastOK.Store(int64(f.clock.Now()))
-			f.current.Store(&source.Name)
+			f.lastReadMs.Store(int64(f.clock.Now()))
+			f.currentSource.Store(&source.Name)
 			return nil
 		}
-		failures = append(failures, fmt.Errorf("%s: %w", source.Name, err))
+		errs = append(errs, fmt.Errorf("%s: %w", source.Name, err))
 	}
-	err := errors.Join(failures...)
+	err := errors.Join(errs...)
 	if ctx.Err() == nil {
 		f.logger.Debug("log stream unavailable", zap.Int64("offset", f.Next()), zap.Error(err))
 	}
@@ -147,7 +148,7 @@
 			continue
 		}
 		if record.Offset > f.Next() {
-			return fmt.Errorf("%w: wanted %d, got %d", ErrGap, f.Next(), record.Offset)
+			return fmt.Errorf("%w: expected offset %d, got %d", ErrGap, f.Next(), record.Offset)
 		}
 		f.record(record)
 		f.Advance(record.Offset + 1)
@@ -162,7 +163,7 @@
 		return err
 	}
 	if next <= from {
-		return fmt.Errorf("%w: offset %d, and nothing newer to start from", backing.ErrExpired, from)
+		return fmt.Errorf("%w: offset %d, and no newer offset to continue from", backing.ErrExpired, from)
 	}
 	f.Advance(next)
 	return nil
--- a/internal/logstream/log.go
+++ b/internal/logstream/log.go
@@ -8,18 +8,18 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Read returns records of a stream, as backing.Log does.
+// Read reads records of a stream, like the Read method of backing.Log.
 type Read func(
 	ctx context.Context, stream string, from int64, limit int, waitMs clock.Millis,
 ) (backing.Page, error)
 
-// Log is what followers of a stream that also write to it need of the platform.
+// Log provides the log operations needed by components that follow a stream and also append to it.
 type Log struct {
 	Append func(ctx context.Context, stream string, records ...json.RawMessage) (int64, error)
 	Read   Read
 }
 
-// Source returns the platform as the source of one stream.
+// Source returns the platform's log as a source of one stream.
 func (l Log) Source(stream string) Source {
 	return Source{Name: "platform", Read: func(
 		ctx context.Context, from int64, limit int, waitMs clock.Millis,
@@ -28,9 +28,9 @@
 	}}
 }
 
-// NewLogFollower returns a follower of one stream of the platform's log for
-// states that need nothing older than the log keeps: where the wanted record is
-// past retention it goes on from the oldest that is not.
+// NewLogFollower returns a follower of one stream of the platform's log. It is
+// meant for state that does not depend on records past retention: if the requested
+// record is past retention, the follower continues at the oldest retained record.
 func NewLogFollower(log Log, stream string, record func(backing.Record), options ...Option) *Follower {
 	sources := []Source{log.Source(stream)}
 	expired := func(ctx context.Context, from int64) (int64, error) {
--- a/internal/logstream/tail.go
+++ b/internal/logstream/tail.go
@@ -1,5 +1,5 @@
 // Package logstream follows one stream of the platform's log, from the platform
-// or from a peer that relays it, and hands each record on once and in order.
+// or from a peer that relays it, and delivers each record once and in order.
 package logstream
 
 import (
@@ -10,7 +10,7 @@
 	"dooryard.example/dooryard/internal/backing"
 )
 
-// Tail keeps the newest records of a stream in memory, for peers that take them
+// Tail keeps the newest records of a stream in memory, for peers that read them
 // from this box. It is safe for concurrent use.
 type Tail struct {
 	capacity int
@@ -18,16 +18,16 @@
 	mu      sync.Mutex
 	records []backing.Record
 	end     int64
-	grown   chan struct{}
+	changed chan struct{}
 }
 
-// NewTail returns an empty tail of at most capacity records.
+// NewTail returns an empty tail that keeps up to capacity records.
 func NewTail(capacity int) *Tail {
-	return &Tail{capacity: capacity, grown: make(chan struct{})}
+	return &Tail{capacity: capacity, changed: make(chan struct{})}
 }
 
-// Add appends a record; one that is already in is ignored. A gap before the
-// record forgets what stood before it.
+// Add appends a record. Records below the end offset are ignored. If there is a
+// gap before the record, all earlier records are dropped.
 func (t *Tail) Add(record backing.Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,11 +42,13 @@
 		t.records = append([]backing.Record(nil), t.records[len(t.records)-t.capacity:]...)
 	}
 	t.end = record.Offset + 1
-	close(t.grown)
-	t.grown = make(chan struct{})
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
-// Reset says that everything before the offset is known, without the records.
+// Reset drops all records and advances the end offset to end, for state that was
+// obtained up to that offset without its records. It ignores an end that is not
+// newer.
 func (t *Tail) Reset(end int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,8 +57,8 @@
 	}
 	t.records = nil
 	t.end = end
-	close(t.grown)
-	t.grown = make(chan struct{})
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
 // End returns the offset after the newest record.
@@ -66,20 +68,20 @@
 	return t.end
 }
 
-// Read returns records from an offset on, or waits until there is one or the
-// context ends; then the page is empty. ErrExpired means that the offset is
-// older than the tail.
+// Read returns records starting at an offset. It waits for the first one, and
+// returns an empty page if the context is canceled before. ErrExpired means that
+// the offset is older than the oldest record in the tail.
 func (t *Tail) Read(ctx context.Context, from int64, limit int) (backing.Page, error) {
 	for {
-		page, grown := t.page(from, limit)
+		page, changed := t.page(from, limit)
 		if from < page.FirstOffset {
-			return page, fmt.Errorf("%w: wanted %d, oldest is %d", backing.ErrExpired, from, page.FirstOffset)
+			return page, fmt.Errorf("%w: requested offset %d, oldest is %d", backing.ErrExpired, from, page.FirstOffset)
 		}
 		if len(page.Records) > 0 {
 			return page, nil
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-ctx.Done():
 			return page, nil
 		}
@@ -92,8 +94,8 @@
 	first := t.end - int64(len(t.records))
 	page := backing.Page{FirstOffset: first, EndOffset: t.end}
 	if from >= first && from < t.end {
-		rest := t.records[from-first:]
-		page.Records = rest[:min(limit, len(rest))]
+		remaining := t.records[from-first:]
+		page.Records = remaining[:min(limit, len(remaining))]
 	}
-	return page, t.grown
+	return page, t.changed
 }
