--- a/internal/registry/histories_test.go
+++ b/internal/registry/histories_test.go
@@ -12,45 +12,47 @@
 	"dooryard.example/dooryard/internal/position"
 )
 
-// Random histories of servers that write, leave, crash and start again under their id, of a store
-// that comes back from copies, and of boxes that read it and tell each other. No box may believe of
-// a server what is older than what it knew, and once all is written again all boxes are level.
+// The tests in this file run random histories: servers write records, drain, crash and restart
+// under the same id, the store is restored from copies, and boxes read it and relay updates to
+// each other. A box must never accept a record of a server older than one it has already seen,
+// and all boxes must agree once everything has been written again.
 
-// modelServer is a server as it is.
+// modelServer is the actual state of a server.
 type modelServer struct {
 	record
 	alive bool
-	// lost is set while the store does not hold what it wrote last.
+	// lost is set while the store lacks the server's newest record.
 	lost bool
-	// sinceMs is how long ago it crashed, or the store came back.
-	sinceMs clock.Millis
+	// elapsedMs is the time since the server crashed or the store was restored.
+	elapsedMs clock.Millis
 }
 
 const (
-	// writtenMs is within which time of the store's return servers have written again, and
-	// droppedMs that in which the store drops the entry of one that does not write.
-	writtenMs clock.Millis = 2000
-	droppedMs clock.Millis = 3600
+	// rewriteMs is the time after the store is restored within which servers write their
+	// records again. entryExpiryMs is the time after which the store drops the entry of a
+	// server that does not write.
+	rewriteMs     clock.Millis = 2000
+	entryExpiryMs clock.Millis = 3600
 )
 
-// modelLog is the store's log. A record without a server is an entry that went.
+// modelLog is the store's log. A record without a server is a removed entry.
 type modelLog struct {
 	era     int64
-	records []logged
+	records []logRecord
 }
 
-type logged struct {
+type logRecord struct {
 	record
 	gone bool
 }
 
-// modelBox is a box with where it reads on.
+// modelBox is a box with the position at which it continues reading.
 type modelBox struct {
 	*fixture
 	at     position.Position
 	filled bool
-	// knew is the newest record of each server that the box has believed.
-	knew map[string]record
+	// newestSeen is the newest record of each server that the box has accepted.
+	newestSeen map[string]record
 }
 
 type history struct {
@@ -66,27 +68,27 @@
 		h.servers = append(h.servers, &modelServer{record: record{id: fmt.Sprint("s", i)}})
 	}
 	for range 3 {
-		h.boxes = append(h.boxes, &modelBox{fixture: newFixture(), knew: map[string]record{}})
+		h.boxes = append(h.boxes, &modelBox{fixture: newFixture(), newestSeen: map[string]record{}})
 	}
 	return h
 }
 
-// write lets a server write its entry.
+// write writes the server's entry.
 func (h *history) write(s *modelServer) {
 	s.sequence++
 	s.lost = false
-	h.log.records = append(h.log.records, logged{record: s.record})
+	h.log.records = append(h.log.records, logRecord{record: s.record})
 }
 
-// act lets a server do something.
-func (h *history) act(s *modelServer) {
+// stepServer starts, stops or changes a server.
+func (h *history) stepServer(s *modelServer) {
 	switch {
 	case !s.alive:
 		s.alive = true
 		s.record = record{id: s.id, started: s.started + 10}
 		h.write(s)
 	case h.random.IntN(3) == 0:
-		s.alive, s.sinceMs = false, 0
+		s.alive, s.elapsedMs = false, 0
 		if h.random.IntN(2) == 0 {
 			h.remove(s)
 		}
@@ -96,33 +98,34 @@
 	}
 }
 
-// remove lets the store drop a server's entry, if it has one.
+// remove drops a server's entry from the store, if there is one.
 func (h *history) remove(s *modelServer) {
 	if newest, listed := h.newest()[s.id]; listed && !newest.gone {
-		h.log.records = append(h.log.records, logged{record: record{id: s.id}, gone: true})
+		h.log.records = append(h.log.records, logRecord{record: record{id: s.id}, gone: true})
 	}
 }
 
 // newest returns the newest record of each server.
-func (h *history) newest() map[string]logged {
-	newest := map[string]logged{}
+func (h *history) newest() map[string]logRecord {
+	newest := map[string]logRecord{}
 	for _, r := range h.log.records {
 		newest[r.id] = r
 	}
 	return newest
 }
 
-// restore lets the store come back from a copy.
+// restore replaces the store's log by an older copy.
 func (h *history) restore() {
 	h.log.era++
 	h.log.records = h.log.records[:h.random.IntN(len(h.log.records)+1)]
 	newest := h.newest()
 	for _, s := range h.servers {
-		s.lost, s.sinceMs = s.alive && newest[s.id].record != s.record, 0
+		s.lost, s.elapsedMs = s.alive && newest[s.id].record != s.record, 0
 	}
 }
 
-// read lets a box read the store on, or whole if its offsets hold no longer.
+// read makes a box continue reading the store, or read it in full if its offset is no longer
+// valid.
 func (h *history) read(b *modelBox) {
 	b.at = position.Max(b.at, b.Position())
 	end := int64(len(h.log.records))
@@ -138,7 +141,7 @@
 	b.at.Offset = end
 }
 
-func (r logged) change(era, offset int64) Change {
+func (r logRecord) change(era, offset int64) Change {
 	if r.gone {
 		return goneAt(r.id, era, offset)
 	}
@@ -161,7 +164,7 @@
 	b.filled = true
 }
 
-// relay lets a box take over what another one knows more.
+// relay sends a box's newer changes to another box.
 func (h *history) relay(from, to *modelBox) {
 	if to.Position().Before(from.Position()) {
 		to.Merge(from.Since(to.Position()))
@@ -169,13 +172,13 @@
 	}
 }
 
-func (h *history) pass(span clock.Millis) {
+func (h *history) advance(span clock.Millis) {
 	for _, s := range h.servers {
-		s.sinceMs += span
+		s.elapsedMs += span
 		switch {
-		case s.lost && s.sinceMs >= writtenMs:
+		case s.lost && s.elapsedMs >= rewriteMs:
 			h.write(s)
-		case !s.alive && s.sinceMs >= droppedMs:
+		case !s.alive && s.elapsedMs >= entryExpiryMs:
 			h.remove(s)
 		}
 	}
@@ -189,13 +192,13 @@
 	box := func() *modelBox { return h.boxes[h.random.IntN(len(h.boxes))] }
 	switch h.random.IntN(8) {
 	case 0, 1, 2:
-		h.act(h.servers[h.random.IntN(len(h.servers))])
+		h.stepServer(h.servers[h.random.IntN(len(h.servers))])
 	case 3, 4:
 		h.read(box())
 	case 5:
 		h.relay(box(), box())
 	case 6:
-		h.pass(clock.Millis(h.random.IntN(800)))
+		h.advance(clock.Millis(h.random.IntN(800)))
 	default:
 		if h.random.IntN(4) == 0 {
 			h.restore()
@@ -203,23 +206,24 @@
 	}
 }
 
-// check compares what each box believes with what it knew before.
+// check verifies that no box has replaced a record by an older one.
 func (h *history) check(t *testing.T) {
 	t.Helper()
 	for i, b := range h.boxes {
 		for id, e := range b.entries {
-			if e.gone {
+			if e.tombstone {
 				continue
 			}
-			knew, now := b.knew[id], record{id: id, started: e.startedMs, sequence: e.sequence, draining: e.upstream.Draining}
-			older := now.started < knew.started || now.started == knew.started && now.sequence < knew.sequence
-			require.False(t, older, "box %d believes %+v after %+v", i, now, knew)
-			b.knew[id] = now
+			newestSeen, now := b.newestSeen[id], record{id: id, started: e.startedMs, sequence: e.sequence, draining: e.upstream.Draining}
+			older := now.started < newestSeen.started || now.started == newestSeen.started && now.sequence < newestSeen.sequence
+			require.False(t, older, "box %d accepted %+v after %+v", i, now, newestSeen)
+			b.newestSeen[id] = now
 		}
 	}
 }
 
-// settle lets all that lives write again, the store drop the rest, and the boxes hear of it.
+// settle makes all running servers write again, drops the entries of the others, and updates
+// the boxes.
 func (h *history) settle() {
 	for _, s := range h.servers {
 		switch {
@@ -234,10 +238,10 @@
 		h.relay(h.boxes[0], b)
 		h.read(b)
 	}
-	h.pass(reappearMs)
+	h.advance(reappearMs)
 }
 
-func (h *history) assertLevel(t *testing.T) {
+func (h *history) assertConverged(t *testing.T) {
 	t.Helper()
 	want := map[string]bool{}
 	for _, s := range h.servers {
@@ -264,7 +268,7 @@
 				h.check(t)
 			}
 			h.settle()
-			h.assertLevel(t)
+			h.assertConverged(t)
 		})
 	}
 }
--- a/internal/registry/journal.go
+++ b/internal/registry/journal.go
@@ -6,43 +6,44 @@
 	"dooryard.example/dooryard/internal/position"
 )
 
-// journalLength is how many changes a registry can at least tell other boxes one by
-// one: more than come while a box misses a few rounds.
-const journalLength = 256
+// minJournalLength is the minimum number of changes that a registry can send to other boxes
+// one by one. It exceeds the number of changes that arrive while a box misses a few rounds.
+const minJournalLength = 256
 
-// journal is the newest changes.
+// journal keeps the most recent changes.
 type journal struct {
 	position position.Position
-	// from is the position after which no change is missing.
-	from    position.Position
-	changes []Change
+	// completeFrom is the position after which the journal holds every change.
+	completeFrom position.Position
+	changes      []Change
 }
 
 func (j *journal) add(c Change) {
 	j.changes = append(j.changes, c)
 	j.position = position.Max(j.position, c.Position)
-	if len(j.changes) < 2*journalLength {
+	if len(j.changes) < 2*minJournalLength {
 		return
 	}
-	// The older half goes at once, so that a long list costs one copy now and then.
-	excess := len(j.changes) - journalLength
+	// Drops the older half at once, so that a long journal is copied only rarely.
+	excess := len(j.changes) - minJournalLength
 	for _, dropped := range j.changes[:excess] {
-		j.from = position.Max(j.from, dropped.Position)
+		j.completeFrom = position.Max(j.completeFrom, dropped.Position)
 	}
 	j.changes = slices.Clone(j.changes[excess:])
 }
 
-// reach notes that everything up to a position was taken in as a whole, so that
-// single changes before it may be missing.
-func (j *journal) reach(upTo position.Position) {
+// skipTo records that everything up to a position was applied as a snapshot. Individual
+// changes before it may be missing from the journal.
+func (j *journal) skipTo(upTo position.Position) {
 	j.position = position.Max(j.position, upTo)
-	j.from = position.Max(j.from, upTo)
+	j.completeFrom = position.Max(j.completeFrom, upTo)
 }
 
-// since returns the changes after a position, or false when some are missing. Boxes that stand in
-// an era before may have known what the store has lost.
+// since returns the changes after a position, or false if some are missing. It also returns
+// false for a position of an earlier era: a box at such a position may know changes that the
+// store has lost.
 func (j *journal) since(after position.Position) ([]Change, bool) {
-	if after.Before(j.from) || !after.IsZero() && after.Era < j.position.Era {
+	if after.Before(j.completeFrom) || !after.IsZero() && after.Era < j.position.Era {
 		return nil, false
 	}
 	changes := []Change{}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,5 +1,6 @@
-// Package registry holds the upstreams that a box knows of. An upstream is one
-// incarnation, known by its server's id and start; ids and addresses may be used again.
+// Package registry holds the upstreams that a box knows. An upstream is one incarnation of a
+// server, identified by the server's id and start time, because ids and addresses may be
+// reused.
 package registry
 
 import (
@@ -15,25 +16,25 @@
 
 // Upstream is one incarnation of a server.
 type Upstream struct {
-	// ID names the server. One that starts again may keep it.
+	// ID identifies the server. It may stay the same across restarts.
 	ID string `json:"id"`
-	// StartedMs is the time of day of the server's start by its own clock, or 0 if it does not
-	// tell. With the ID it names the incarnation, and orders those of one server; it is never
-	// compared with a box's clock.
+	// StartedMs is the server's start time by its own wall clock, or 0 if the server does not
+	// report it. Together with the ID it identifies the incarnation, and it orders the
+	// incarnations of one server. It is never compared with a box's clock.
 	StartedMs clock.Millis `json:"started_ms,omitempty"`
 	// Pool is the name of the pool that the upstream belongs to.
 	Pool string `json:"pool"`
-	// Address is an IP number and port.
+	// Address is an IP address and port.
 	Address string `json:"address"`
-	// FailureDomain is where the upstream stands.
+	// FailureDomain is the failure domain in which the upstream runs.
 	FailureDomain string `json:"failure_domain"`
-	// Slots is how many requests it runs at once.
+	// Slots is the maximum number of requests that the upstream runs concurrently.
 	Slots int `json:"slots"`
-	// Draining is set once the upstream said that it is going to leave.
+	// Draining is set once the upstream has announced that it is shutting down.
 	Draining bool `json:"draining,omitempty"`
 }
 
-// Incarnation names one life of a server.
+// Incarnation returns a name for this incarnation of the server.
 func (u Upstream) Incarnation() string {
 	if u.StartedMs == 0 {
 		return u.ID
@@ -41,49 +42,52 @@
 	return u.ID + "@" + strconv.FormatInt(int64(u.StartedMs), 10)
 }
 
-// Key names the incarnation in what boxes tell each other often.
+// Key returns the short key of the incarnation that boxes use in frequent messages to each
+// other.
 func (u Upstream) Key() namekey.Key { return namekey.Of(u.Incarnation()) }
 
-// Change is what a source learnt about one upstream.
+// Change is a change to one upstream, as reported by a source.
 type Change struct {
 	Upstream Upstream `json:"upstream"`
-	// Gone is set when the upstream's entry disappeared; only the ID counts then.
+	// Gone is set when the upstream's entry was removed. Only the ID is used in this case.
 	Gone bool `json:"gone,omitempty"`
-	// Unusable is set with Gone when there is an entry that names no upstream to use: it does
-	// not come back with the store that holds it.
+	// Unusable is set together with Gone when an entry exists but does not describe a usable
+	// upstream. Such an upstream does not reappear when the store that holds the entry
+	// recovers.
 	Unusable bool `json:"-"`
-	// Position orders the changes of all upstreams: every source gives the same change the
-	// same one.
+	// Position orders the changes of all upstreams. Every source assigns the same position to
+	// the same change.
 	Position position.Position `json:"position"`
-	// Sequence counts what the upstream wrote of itself since it started, 0 if it does not tell.
+	// Sequence counts the records that the upstream has written about itself since it started.
+	// It is 0 if the upstream does not report it.
 	Sequence int64 `json:"sequence,omitempty"`
-	// Copied is set when the record may be older than the era of its position: it was read as
-	// part of a whole, not as it was written.
+	// Copied is set when the record may be older than the era of its position, because it was
+	// read as part of a snapshot rather than when it was written.
 	Copied bool `json:"copied,omitempty"`
-	// LapseMs is how long an entry that disappeared may come back: entries lapse
-	// while the store that holds them is away, although their upstreams live.
-	// Zero gives it up at once.
+	// LapseMs is the grace period in which a removed entry may reappear. Entries expire while
+	// the store that holds them is unavailable, although their upstreams are alive. Zero
+	// removes the entry at once.
 	LapseMs clock.Millis `json:"lapse_ms,omitempty"`
 }
 
-// entry is an upstream with what is known of its entry.
+// entry is an upstream together with the state of its store entry.
 type entry struct {
 	upstream Upstream
-	// goneMs is the steady instant at which a lapsed entry is given up, or 0.
-	goneMs clock.Millis
-	// gone is set on what is only kept to know that older changes are void.
-	gone bool
-	// unusable is set on a gone entry that another writer replaced.
+	// removeAtMs is the monotonic time at which the grace period of a removed entry ends, or 0.
+	removeAtMs clock.Millis
+	// tombstone is set on an entry that is kept only to reject older changes.
+	tombstone bool
+	// unusable is set on a tombstone whose entry was replaced by another writer.
 	unusable bool
 	position position.Position
-	// startedMs is the newest start of the server that was heard.
+	// startedMs is the latest start time of the server seen so far.
 	startedMs clock.Millis
-	// sequence is that of the newest record which this life wrote.
+	// sequence is the sequence number of the newest record written by this incarnation.
 	sequence int64
 	// copied is Change.Copied of the newest record.
 	copied bool
-	// listed is an older record that the store still holds of an upstream known to be gone.
-	listed *listing
+	// stale is an older record that the store still holds for a removed upstream.
+	stale *staleRecord
 }
 
 // Registry is the set of upstreams. It is safe for concurrent use.
@@ -93,12 +97,12 @@
 	mu      sync.Mutex
 	entries map[string]entry
 	journal journal
-	// filled is set once all upstreams there are were taken in as a whole.
+	// filled is set once a complete list of the upstreams has been applied.
 	filled bool
-	// heardMs is when this box last heard that nothing newer than its position was there, or
-	// took in what was.
-	heardMs  clock.Millis
-	onChange func()
+	// upToDateMs is when this box last applied newer changes, or learned that there are none
+	// after its position.
+	upToDateMs clock.Millis
+	onChange   func()
 }
 
 // New returns an empty registry.
@@ -109,22 +113,22 @@
 // OnChange sets a function that is called after each change, without locks held.
 func (r *Registry) OnChange(call func()) { r.onChange = call }
 
-// Apply takes in changes and returns those that were news.
+// Apply applies changes and returns those that were new.
 func (r *Registry) Apply(changes []Change) []Change {
-	news := []Change{}
+	applied := []Change{}
 	r.mu.Lock()
-	r.heardMs = r.steady()
+	r.upToDateMs = r.steady()
 	for _, c := range changes {
 		if r.apply(c) {
-			news = append(news, c)
+			applied = append(applied, c)
 			r.journal.add(c)
 		}
 	}
 	r.mu.Unlock()
-	if len(news) > 0 {
+	if len(applied) > 0 {
 		r.onChange()
 	}
-	return news
+	return applied
 }
 
 func (r *Registry) apply(c Change) bool {
@@ -136,102 +140,104 @@
 	switch {
 	case c.Position.Era < r.journal.position.Era || known && !old.position.Before(c.Position):
 		return false
-	case c.Upstream.formerOf(old.startedMs):
-		// A word of a former life, written late: it says nothing of this one.
+	case c.Upstream.startedBefore(old.startedMs):
+		// A late record of an earlier incarnation says nothing about the current one.
 		old.position = c.Position
 		r.entries[id] = old
 		return false
-	case known && old.outdates(c):
-		r.entries[id] = old.keptOver(c, r.steady())
+	case known && old.supersedes(c):
+		r.entries[id] = old.afterStaleRecord(c, r.steady())
 		return false
 	case !c.Gone:
 		next.upstream, next.sequence = c.Upstream, c.Sequence
-	case !known || old.gone:
-		next.gone = true
-		// Other boxes may believe a record that this one held for outdated.
+	case !known || old.tombstone:
+		next.tombstone = true
+		// This is reported as a change because other boxes may hold a record that this box
+		// rejected as outdated.
 		r.entries[id] = next
 		return true
 	case c.LapseMs == 0 || old.upstream.Draining:
-		next.gone, next.unusable = true, c.Unusable
+		next.tombstone, next.unusable = true, c.Unusable
 	default:
-		next.upstream, next.goneMs = old.upstream, r.steady()+c.LapseMs
+		next.upstream, next.removeAtMs = old.upstream, r.steady()+c.LapseMs
 	}
 	r.entries[id] = next
 	return true
 }
 
-// formerOf reports whether the upstream is an earlier life of a server that has started again.
-func (u Upstream) formerOf(newestMs clock.Millis) bool {
+// startedBefore reports whether the upstream is an earlier incarnation of a server that has
+// restarted since.
+func (u Upstream) startedBefore(newestMs clock.Millis) bool {
 	return u.StartedMs > 0 && u.StartedMs < newestMs
 }
 
-// Replace takes in all upstreams as they were at a position, and returns what
-// was news: upstreams that are not among them have disappeared, and may come back
-// within lapseMs.
-func (r *Registry) Replace(all []Change, at position.Position, lapseMs clock.Millis) []Change {
+// Replace applies a complete list of the upstreams at a position, and returns the changes that
+// were new. Upstreams missing from the list are removed, but may reappear within graceMs.
+func (r *Registry) Replace(all []Change, at position.Position, graceMs clock.Millis) []Change {
 	r.mu.Lock()
 	if at.Era < r.journal.position.Era {
 		r.mu.Unlock()
 		return nil
 	}
-	// What is missing goes first: an outdated record of an upstream that is missing says nothing.
-	all = append(r.missing(all, at, lapseMs), r.lapseForeign(all, at, lapseMs)...)
+	// Removals are applied first, so that an outdated record of a removed upstream has no
+	// effect.
+	all = append(r.removals(all, at, graceMs), r.delayForeignRemovals(all, at, graceMs)...)
 	r.mu.Unlock()
-	news := r.Apply(all)
+	applied := r.Apply(all)
 	r.mu.Lock()
-	r.journal.reach(at)
+	r.journal.skipTo(at)
 	r.filled = true
 	r.mu.Unlock()
-	return news
+	return applied
 }
 
-// missing returns what a list of all upstreams at a position lacks, as gone.
-func (r *Registry) missing(all []Change, at position.Position, lapseMs clock.Millis) []Change {
+// removals returns a removal for each upstream missing from a complete list at a position.
+func (r *Registry) removals(all []Change, at position.Position, graceMs clock.Millis) []Change {
 	listed := make(map[string]bool, len(all))
 	for _, c := range all {
-		former := r.restored(at) && c.Upstream.formerOf(r.entries[c.Upstream.ID].startedMs)
-		listed[c.Upstream.ID] = !former
+		older := r.inNewerEra(at) && c.Upstream.startedBefore(r.entries[c.Upstream.ID].startedMs)
+		listed[c.Upstream.ID] = !older
 	}
-	gone := []Change{}
+	removed := []Change{}
 	for id, e := range r.entries {
 		switch {
-		case listed[id] || e.gone || !e.position.Before(at):
-		case e.goneMs > 0:
-			// It is missing still: its time to come back goes on.
+		case listed[id] || e.tombstone || !e.position.Before(at):
+		case e.removeAtMs > 0:
+			// The entry is still missing: its grace period keeps running.
 			e.position = at
 			r.entries[id] = e
 		default:
-			gone = append(gone, Change{Upstream: Upstream{ID: id}, Gone: true, Position: at, LapseMs: lapseMs})
+			removed = append(removed, Change{Upstream: Upstream{ID: id}, Gone: true, Position: at, LapseMs: graceMs})
 		}
 	}
-	return gone
+	return removed
 }
 
-// Confirm takes in that another box knew nothing newer than a position.
+// Confirm records that another box knew of nothing newer than a position.
 func (r *Registry) Confirm(at position.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at == r.journal.position {
-		r.heardMs = r.steady()
+		r.upToDateMs = r.steady()
 	}
 }
 
-// Filled reports whether all upstreams there are were taken in, be it none.
+// Filled reports whether a complete list of the upstreams has been applied, even an empty one.
 func (r *Registry) Filled() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.filled
 }
 
-// Expire removes entries whose time to come back is over, and takes back upstreams that the
-// store goes on listing.
+// Expire removes entries whose grace period has ended, and restores upstreams that the store
+// keeps listing.
 func (r *Registry) Expire() {
 	now := r.steady()
 	changed := false
 	r.mu.Lock()
 	for id, e := range r.entries {
-		next, news := e.expired(now, r.heardMs)
-		if news {
+		next, updated := e.afterTimeouts(now, r.upToDateMs)
+		if updated {
 			r.entries[id] = next
 			changed = true
 		}
@@ -242,29 +248,29 @@
 	}
 }
 
-// expired returns what follows from an entry's own time-outs by an instant, when the store was last
-// heard at another one.
-func (e entry) expired(now, heardMs clock.Millis) (next entry, changed bool) {
+// afterTimeouts returns the entry after applying the timeouts that are due at now. The
+// argument upToDateMs is when the registry was last known to be up to date with the store.
+func (e entry) afterTimeouts(now, upToDateMs clock.Millis) (next entry, changed bool) {
 	switch {
-	case e.goneMs > 0 && now >= e.goneMs:
-		return entry{gone: true, position: e.position, startedMs: e.startedMs, sequence: e.sequence}, true
-	case e.listed != nil && heardMs >= e.listed.untilMs:
+	case e.removeAtMs > 0 && now >= e.removeAtMs:
+		return entry{tombstone: true, position: e.position, startedMs: e.startedMs, sequence: e.sequence}, true
+	case e.stale != nil && upToDateMs >= e.stale.acceptAtMs:
 		return entry{
-			upstream: e.listed.upstream, position: e.position, startedMs: e.startedMs,
-			sequence: e.listed.sequence, copied: true,
+			upstream: e.stale.upstream, position: e.position, startedMs: e.startedMs,
+			sequence: e.stale.sequence, copied: true,
 		}, true
 	default:
 		return e, false
 	}
 }
 
-// All returns the upstreams by ID.
+// All returns the upstreams sorted by ID.
 func (r *Registry) All() []Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := make([]Upstream, 0, len(r.entries))
 	for _, e := range r.entries {
-		if !e.gone {
+		if !e.tombstone {
 			all = append(all, e.upstream)
 		}
 	}
@@ -272,32 +278,32 @@
 	return all
 }
 
-// Has reports whether an incarnation is there.
+// Has reports whether the registry holds an incarnation.
 func (r *Registry) Has(u Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e, known := r.entries[u.ID]
-	return known && !e.gone && e.upstream.StartedMs == u.StartedMs
+	return known && !e.tombstone && e.upstream.StartedMs == u.StartedMs
 }
 
-// Position returns the newest position that was taken in.
+// Position returns the newest position that was applied.
 func (r *Registry) Position() position.Position {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.journal.position
 }
 
-// Update is what changed after some position.
+// Update holds the changes after some position.
 type Update struct {
-	// Position is the newest one that the update covers.
+	// Position is the newest position that the update covers.
 	Position position.Position `json:"position"`
-	// Whole is set when Changes are all upstreams there are.
+	// Whole is set when Changes is the complete list of upstreams.
 	Whole   bool     `json:"whole,omitempty"`
 	Changes []Change `json:"changes,omitempty"`
 }
 
-// Since returns what changed after a position, or all upstreams when the journal
-// does not reach back so far.
+// Since returns the changes after a position, or the complete list of upstreams when the
+// journal does not reach back that far.
 func (r *Registry) Since(after position.Position) Update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -306,35 +312,35 @@
 	}
 	u := Update{Position: r.journal.position, Whole: true}
 	for _, e := range r.entries {
-		if !e.gone {
+		if !e.tombstone {
 			u.Changes = append(u.Changes, e.change(r.steady()))
 		}
 	}
 	return u
 }
 
-// change returns what the entry says.
+// change returns the change that describes the entry.
 func (e entry) change(now clock.Millis) Change {
 	c := Change{Upstream: e.upstream, Position: e.position, Sequence: e.sequence, Copied: e.copied}
-	if e.goneMs > 0 {
-		// That the entry has gone holds for every life of the server.
+	if e.removeAtMs > 0 {
+		// The removal applies to every incarnation of the server.
 		c.Upstream = Upstream{ID: e.upstream.ID}
-		c.Gone, c.LapseMs = true, max(1, e.goneMs-now)
+		c.Gone, c.LapseMs = true, max(1, e.removeAtMs-now)
 	}
 	return c
 }
 
-// maxRelayedLapseMs bounds how long an entry may come back that another box told
-// of: its word has been under way for a while.
-const maxRelayedLapseMs clock.Millis = 1200
+// maxRelayedGraceMs bounds the grace period of a removal relayed by another box, because part
+// of it has already passed in transit.
+const maxRelayedGraceMs clock.Millis = 1200
 
-// Merge takes in another box's update and returns what was news.
+// Merge applies another box's update and returns the changes that were new.
 func (r *Registry) Merge(u Update) []Change {
 	for i := range u.Changes {
-		u.Changes[i].LapseMs = min(u.Changes[i].LapseMs, maxRelayedLapseMs)
+		u.Changes[i].LapseMs = min(u.Changes[i].LapseMs, maxRelayedGraceMs)
 	}
 	if u.Whole || !u.Position.IsZero() && r.Position().IsZero() {
-		return r.Replace(u.Changes, u.Position, r.relayedLapse(u.Position))
+		return r.Replace(u.Changes, u.Position, r.relayedGraceMs(u.Position))
 	}
 	return r.Apply(u.Changes)
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -24,8 +24,8 @@
 	return Change{Upstream: Upstream{ID: id, Pool: "p", Address: "127.0.0.1:1"}, Position: position.At(0, revision)}
 }
 
-func gone(id string, revision int64, lapse clock.Millis) Change {
-	return Change{Upstream: Upstream{ID: id}, Gone: true, Position: position.At(0, revision), LapseMs: lapse}
+func gone(id string, revision int64, grace clock.Millis) Change {
+	return Change{Upstream: Upstream{ID: id}, Gone: true, Position: position.At(0, revision), LapseMs: grace}
 }
 
 func assertIDs(t *testing.T, r *Registry, want ...string) {
@@ -38,18 +38,18 @@
 }
 
 func TestApply(t *testing.T) {
-	t.Run("an older change is void, whatever order sources tell it in", func(t *testing.T) {
+	t.Run("an older change is ignored, whatever the order of arrival", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{put("a", 1), gone("a", 5, 0)})
 		assert.Empty(t, f.Apply([]Change{put("a", 3)}))
 		assertIDs(t, f.Registry)
 	})
-	t.Run("an entry that disappears is given up at once", func(t *testing.T) {
+	t.Run("an entry without a grace period is removed at once", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{put("a", 1), put("b", 2), gone("a", 3, 0)})
 		assertIDs(t, f.Registry, "b")
 	})
-	t.Run("an entry that lapsed with its store may come back", func(t *testing.T) {
+	t.Run("a removed entry may reappear within its grace period", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{put("a", 1), put("b", 2)})
 		f.Apply([]Change{gone("a", 3, 1700), gone("b", 4, 1700)})
@@ -59,7 +59,7 @@
 		f.Expire()
 		assertIDs(t, f.Registry, "a")
 	})
-	t.Run("an upstream that said it leaves gets no time to come back", func(t *testing.T) {
+	t.Run("a draining upstream gets no grace period", func(t *testing.T) {
 		f := newFixture()
 		leaving := put("a", 1)
 		leaving.Upstream.Draining = true
@@ -69,14 +69,14 @@
 }
 
 func TestReplace(t *testing.T) {
-	t.Run("what is not listed has disappeared", func(t *testing.T) {
+	t.Run("an upstream missing from the list is removed", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{put("a", 1), put("b", 2)})
 		f.Replace([]Change{put("b", 2), put("c", 3)}, position.At(0, 9), 0)
 		assertIDs(t, f.Registry, "b", "c")
 		assert.Equal(t, position.At(0, 9), f.Position())
 	})
-	t.Run("what is newer than the list stays", func(t *testing.T) {
+	t.Run("an upstream newer than the list is kept", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{put("a", 12)})
 		f.Replace([]Change{put("b", 2)}, position.At(0, 9), 0)
@@ -85,7 +85,7 @@
 }
 
 func TestSince(t *testing.T) {
-	t.Run("tells single changes while it knows them all", func(t *testing.T) {
+	t.Run("returns single changes while the journal is complete", func(t *testing.T) {
 		from, to := newFixture(), newFixture()
 		from.Apply([]Change{put("a", 1), put("b", 2)})
 		to.Merge(from.Since(position.Position{}))
@@ -97,7 +97,7 @@
 		assertIDs(t, to.Registry, "b")
 		assert.Equal(t, from.Position(), to.Position())
 	})
-	t.Run("tells the whole when its journal begins later", func(t *testing.T) {
+	t.Run("returns a complete list when the journal starts later", func(t *testing.T) {
 		from, to := newFixture(), newFixture()
 		from.Replace([]Change{put("a", 4)}, position.At(0, 7), 0)
 		to.Apply([]Change{put("old", 1)})
@@ -106,9 +106,9 @@
 		to.Merge(update)
 		assertIDs(t, to.Registry, "a")
 	})
-	t.Run("forgets the oldest changes and says so by telling the whole", func(t *testing.T) {
+	t.Run("returns a complete list after dropping the oldest changes", func(t *testing.T) {
 		from, to := newFixture(), newFixture()
-		for i := range int64(4 * journalLength) {
+		for i := range int64(4 * minJournalLength) {
 			from.Apply([]Change{put("a", i+1)})
 		}
 		assert.True(t, from.Since(position.At(0, 1)).Whole)
--- a/internal/registry/restored.go
+++ b/internal/registry/restored.go
@@ -5,65 +5,71 @@
 	"dooryard.example/dooryard/internal/position"
 )
 
-// A store that comes back from an older copy lists records that were outdated before. What an
-// upstream itself wrote last holds against them, until it writes again.
+// A store restored from an older copy lists records that had already been superseded. The
+// newest record that an upstream wrote itself takes precedence over them until the upstream
+// writes again.
 
-// listedMs outlives the entry of an upstream that no longer writes it: one that is still listed
-// then is there.
-const listedMs = 5 * clock.Second
+// staleRecordMs is longer than the store keeps the entry of an upstream that no longer writes
+// it. An upstream that is still listed after this time is alive.
+const staleRecordMs = 5 * clock.Second
 
-// listing is a record that may be outdated, and when it is believed after all.
-type listing struct {
-	upstream Upstream
-	sequence int64
-	untilMs  clock.Millis
+// staleRecord is a record that may be outdated, with the time from which it is accepted
+// nevertheless.
+type staleRecord struct {
+	upstream   Upstream
+	sequence   int64
+	acceptAtMs clock.Millis
 }
 
-// restored reports whether a position is of a later era than what was taken in so far.
-func (r *Registry) restored(at position.Position) bool {
+// inNewerEra reports whether a position belongs to a later era than everything applied so far.
+func (r *Registry) inNewerEra(at position.Position) bool {
 	return !r.journal.position.IsZero() && r.journal.position.Era < at.Era
 }
 
-// outdates reports whether what is known holds against a record that the store's copy has: the
-// same life wrote it, and nothing in it is later. What ended by another writer's entry has not
-// ended by its own word.
-func (e entry) outdates(c Change) bool {
+// supersedes reports whether the known entry takes precedence over a record from the store's
+// copy: the same incarnation wrote both, and nothing in the copied record is newer. An entry
+// that another writer replaced never takes precedence, because the upstream itself did not end
+// it.
+func (e entry) supersedes(c Change) bool {
 	if c.Gone || !c.Copied || e.position.Era == c.Position.Era || c.Upstream.StartedMs != e.startedMs || e.unusable {
 		return false
 	}
-	return c.Sequence < e.sequence || c.Sequence == e.sequence && (e.gone || e.upstream.Draining)
+	return c.Sequence < e.sequence || c.Sequence == e.sequence && (e.tombstone || e.upstream.Draining)
 }
 
-// keptOver returns the entry after an older record was read at a new position. An upstream that
-// was gone and stays listed is alive: it writes only what changes.
-func (e entry) keptOver(c Change, now clock.Millis) entry {
+// afterStaleRecord returns the entry after an older record was read at a new position. A
+// removed upstream that stays listed is alive, but it writes only changes, so the stale record
+// is kept for later.
+func (e entry) afterStaleRecord(c Change, now clock.Millis) entry {
 	e.position, e.copied = c.Position, true
-	if e.gone {
-		e.listed = &listing{upstream: c.Upstream, sequence: c.Sequence, untilMs: now + listedMs}
+	if e.tombstone {
+		e.stale = &staleRecord{upstream: c.Upstream, sequence: c.Sequence, acceptAtMs: now + staleRecordMs}
 	}
 	return e
 }
 
-// lapseForeign gives upstreams in whose place a copy has another writer's entry the time to come
-// back: they may have written their own since.
-func (r *Registry) lapseForeign(all []Change, at position.Position, lapseMs clock.Millis) []Change {
-	if !r.restored(at) {
+// delayForeignRemovals adds a grace period to the removal of upstreams whose place in a
+// restored copy is taken by another writer's entry. The upstreams may have written their own
+// entries after the copy was made.
+func (r *Registry) delayForeignRemovals(all []Change, at position.Position, graceMs clock.Millis) []Change {
+	if !r.inNewerEra(at) {
 		return all
 	}
 	for i := range all {
 		if all[i].Unusable {
-			all[i].LapseMs = lapseMs
+			all[i].LapseMs = graceMs
 		}
 	}
 	return all
 }
 
-// relayedLapse is how long an upstream may come back that another box's list lacks.
-func (r *Registry) relayedLapse(at position.Position) clock.Millis {
+// relayedGraceMs returns the grace period for upstreams that are missing from another box's
+// list.
+func (r *Registry) relayedGraceMs(at position.Position) clock.Millis {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.restored(at) {
-		return maxRelayedLapseMs
+	if r.inNewerEra(at) {
+		return maxRelayedGraceMs
 	}
 	return 0
 }
--- a/internal/registry/restored_test.go
+++ b/internal/registry/restored_test.go
@@ -9,10 +9,11 @@
 	"dooryard.example/dooryard/internal/position"
 )
 
-// A store that comes back from a copy lists what was outdated before: servers that leave are
-// ready again, servers that are gone are there. What a server itself wrote last has to hold.
+// A store restored from a copy lists outdated records: draining servers appear ready, and
+// removed servers appear alive. The newest record that a server wrote itself must take
+// precedence.
 
-// record is what a server wrote of itself.
+// record is a record that a server wrote about itself.
 type record struct {
 	id       string
 	started  clock.Millis
@@ -20,7 +21,7 @@
 	draining bool
 }
 
-// at returns the change that reading a record at a position makes.
+// at returns the change that results from reading the record at a position.
 func (r record) at(era, offset int64) Change {
 	return Change{
 		Upstream: Upstream{ID: r.id, StartedMs: r.started, Pool: "p", Address: "127.0.0.1:1", Draining: r.draining},
@@ -28,7 +29,7 @@
 	}
 }
 
-// copied returns the change that a record read as part of a whole makes.
+// copied returns the change that results from reading the record as part of a snapshot.
 func (r record) copied(era, offset int64) Change {
 	c := r.at(era, offset)
 	c.Copied = true
@@ -55,47 +56,47 @@
 func TestRestored(t *testing.T) {
 	ready := record{id: "a", started: 100, sequence: 3}
 	leaves := record{id: "a", started: 100, sequence: 7, draining: true}
-	t.Run("an upstream that leaves is not back for an older record", func(t *testing.T) {
+	t.Run("an older record does not undo draining", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{leaves.at(1, 9)})
 		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		assertDraining(t, f, "a", true)
 	})
-	t.Run("it is ready once it has written so", func(t *testing.T) {
+	t.Run("a newer record undoes draining", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{leaves.at(1, 9)})
 		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		f.Apply([]Change{{Upstream: ready.at(0, 0).Upstream, Position: position.At(2, 6), Sequence: 9}})
 		assertDraining(t, f, "a", false)
 	})
-	t.Run("a later record of its own in the copy is believed", func(t *testing.T) {
+	t.Run("a newer record in the copy is accepted", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{ready.at(1, 9)})
 		f.Replace([]Change{leaves.copied(2, 4)}, position.At(2, 5), reappearMs)
 		assertDraining(t, f, "a", true)
 	})
-	t.Run("an upstream that is gone is not back for an older record", func(t *testing.T) {
+	t.Run("an older record does not bring back a removed upstream", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{ready.at(1, 4), goneAt("a", 1, 9)})
 		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		assertIDs(t, f.Registry)
 		f.Apply([]Change{goneAt("a", 2, 6)})
-		f.now += listedMs
+		f.now += staleRecordMs
 		f.Expire()
 		assertIDs(t, f.Registry)
 	})
-	t.Run("it is back if the store is known to go on listing it", func(t *testing.T) {
+	t.Run("a removed upstream is restored if the store keeps listing it", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{ready.at(1, 4), goneAt("a", 1, 9)})
 		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
-		f.now += listedMs
+		f.now += staleRecordMs
 		f.Expire()
 		assertIDs(t, f.Registry)
 		f.Confirm(position.At(2, 5))
 		f.Expire()
 		assertIDs(t, f.Registry, "a")
 	})
-	t.Run("what the copy lacks may come back for a while", func(t *testing.T) {
+	t.Run("an upstream missing from the copy may reappear within the grace period", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{ready.at(1, 9), record{id: "b"}.at(1, 10)})
 		f.Replace(nil, position.At(2, 5), reappearMs)
@@ -105,7 +106,7 @@
 		f.Expire()
 		assertIDs(t, f.Registry, "a")
 	})
-	t.Run("a former life in the copy keeps no upstream", func(t *testing.T) {
+	t.Run("an older incarnation in the copy does not keep an upstream", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{record{id: "a", started: 200}.at(1, 9)})
 		f.Replace([]Change{ready.copied(2, 5)}, position.At(2, 5), reappearMs)
@@ -114,7 +115,7 @@
 		f.Expire()
 		assertIDs(t, f.Registry)
 	})
-	t.Run("another writer's entry in the copy may stand where the upstream wrote its own", func(t *testing.T) {
+	t.Run("another writer's entry in the copy removes the upstream only after the grace period", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{ready.at(1, 9)})
 		foreign := goneAt("a", 2, 4)
@@ -125,7 +126,7 @@
 		f.Expire()
 		assertIDs(t, f.Registry)
 	})
-	t.Run("an upstream that another writer replaced is back with its own record", func(t *testing.T) {
+	t.Run("an upstream replaced by another writer returns with its own record", func(t *testing.T) {
 		f := newFixture()
 		foreign := goneAt("a", 1, 9)
 		foreign.Unusable = true
@@ -133,7 +134,7 @@
 		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		assertIDs(t, f.Registry, "a")
 	})
-	t.Run("what comes late of an era that is over is void", func(t *testing.T) {
+	t.Run("a late change of an earlier era is ignored", func(t *testing.T) {
 		f := newFixture()
 		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), 0)
 		assert.Empty(t, f.Apply([]Change{goneAt("a", 1, 99)}))
@@ -144,15 +145,15 @@
 
 func TestRelayRestored(t *testing.T) {
 	one, two := record{id: "a", sequence: 1}, record{id: "b", sequence: 1}
-	// source returns a box that has read both upstreams in one era and the first one's leaving in
-	// the next.
+	// source returns a box that has read both upstreams in one era, and the draining of the
+	// first one in the next.
 	source := func() *fixture {
 		f := newFixture()
 		f.Replace([]Change{one.copied(1, 1), two.copied(1, 2)}, position.At(1, 2), 0)
 		f.Replace([]Change{record{id: "a", sequence: 5, draining: true}.copied(2, 1)}, position.At(2, 1), reappearMs)
 		return f
 	}
-	t.Run("a box that stands in the era before gets the whole, and what may come back", func(t *testing.T) {
+	t.Run("a box of the previous era gets a complete list with a grace period for missing upstreams", func(t *testing.T) {
 		from, to := source(), newFixture()
 		to.Replace([]Change{one.copied(1, 1), two.copied(1, 2)}, position.At(1, 2), 0)
 		update := from.Since(to.Position())
@@ -165,7 +166,7 @@
 		to.Expire()
 		assertIDs(t, to.Registry, "a")
 	})
-	t.Run("a box that knew more than the source gets the whole", func(t *testing.T) {
+	t.Run("a box with changes the source lacks gets a complete list", func(t *testing.T) {
 		from, to := source(), newFixture()
 		to.Apply([]Change{one.at(1, 1), two.at(1, 2), record{id: "c"}.at(1, 3)})
 		update := from.Since(to.Position())
@@ -175,7 +176,7 @@
 		to.Expire()
 		assertIDs(t, to.Registry, "a")
 	})
-	t.Run("a box that starts is not told of upstreams that the store lacks", func(t *testing.T) {
+	t.Run("a starting box does not get upstreams that the store lacks", func(t *testing.T) {
 		from, to := newFixture(), newFixture()
 		from.Replace([]Change{one.copied(1, 1), two.copied(1, 2)}, position.At(1, 2), 0)
 		from.Merge(Update{Position: position.At(2, 4), Whole: true, Changes: []Change{record{id: "c"}.at(2, 4)}})
@@ -183,7 +184,7 @@
 		assertIDs(t, to.Registry, "c")
 		assertIDs(t, from.Registry, "a", "b", "c")
 	})
-	t.Run("a box told that an upstream leaves does not believe the copy's older record", func(t *testing.T) {
+	t.Run("a box that received a draining record rejects the older record of the copy", func(t *testing.T) {
 		from, to := newFixture(), newFixture()
 		from.Apply([]Change{record{id: "a", sequence: 5, draining: true}.at(1, 9)})
 		from.Replace([]Change{one.copied(2, 1)}, position.At(2, 1), 0)
