--- a/internal/routing/belief.go
+++ b/internal/routing/belief.go
@@ -7,40 +7,40 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// settleMs is how long after the store has come back from an older copy the operators write
-// again what they had written since.
-const settleMs clock.Millis = 2300
+// resettleMs is the time after the store is restored from an older copy within which operators
+// write again what they had written since the copy was made.
+const resettleMs clock.Millis = 2300
 
-// Confirmation says that nothing newer than a version existed at an instant.
+// Confirmation states that nothing newer than a version existed at a point in time.
 type Confirmation struct {
 	Version int64
-	// Era is that of the store's answer. A store that comes back from an older copy knows
-	// nothing of what was written since.
+	// Era is the store's era at the time of its answer. A store restored from an older copy
+	// does not know what was written since.
 	Era int64
-	// AtMs is on the steady clock of the box that holds the confirmation.
+	// AtMs is a time on the monotonic clock of the box that holds the confirmation.
 	AtMs clock.Millis
 }
 
-// Belief is the routing state that a box holds in force, with how fresh it is
-// known to be. Its readers never block.
+// Belief holds a box's current routing state, and the time at which it was last confirmed to
+// be the newest. Readers never block.
 type Belief struct {
-	steady func() clock.Millis
-	held   atomic.Pointer[held]
-	// confirmed is the newest confirmation that the state in force was still the newest that the
-	// operators had written.
+	steady  func() clock.Millis
+	adopted atomic.Pointer[adopted]
+	// confirmed is the newest confirmation that the current state was the newest one written by
+	// the operators.
 	confirmed atomic.Pointer[Confirmation]
 
 	mu sync.Mutex
-	// era is the newest era of the store that was met, and met is set once one was.
-	era int64
-	met bool
-	// settledMs is when a store that has come back from a copy holds again what operators
-	// wrote.
-	settledMs clock.Millis
+	// newestEra is the newest era of the store seen so far. It is valid only if eraKnown is
+	// set.
+	newestEra int64
+	eraKnown  bool
+	// resettledMs is when a restored store holds again what operators wrote.
+	resettledMs clock.Millis
 }
 
-// held is a state with the newest era in which the store told of it.
-type held struct {
+// adopted is a state with the newest era in which the store reported it.
+type adopted struct {
 	state *State
 	era   int64
 }
@@ -48,76 +48,77 @@
 // NewBelief returns a Belief without a state.
 func NewBelief(steady func() clock.Millis) *Belief { return &Belief{steady: steady} }
 
-// State returns the state in force, or nil before the first.
+// State returns the current state, or nil if there is none yet.
 func (b *Belief) State() *State {
-	if h := b.held.Load(); h != nil {
+	if h := b.adopted.Load(); h != nil {
 		return h.state
 	}
 	return nil
 }
 
-// StateEra returns the newest era in which the store told of the state in force.
+// StateEra returns the newest era in which the store reported the current state.
 func (b *Belief) StateEra() int64 {
-	if h := b.held.Load(); h != nil {
+	if h := b.adopted.Load(); h != nil {
 		return h.era
 	}
 	return 0
 }
 
-// Adopt takes a state that the store told in an era into force, unless one as new is there
-// already. It returns whether anything changed. A lower version than that in force is void,
-// whatever the store has come back to.
+// Adopt makes a state reported by the store in an era the current one, unless the current one
+// is at least as new. It reports whether the current state was replaced. A version lower than
+// the current one is ignored, even after the store was restored from an older copy.
 func (b *Belief) Adopt(s *State, era int64) bool {
 	for {
-		old := b.held.Load()
+		old := b.adopted.Load()
 		newer := old == nil || old.state.version < s.version
 		if !newer && (old.state.version > s.version || old.era >= era) {
 			return false
 		}
-		next := &held{state: s, era: era}
+		next := &adopted{state: s, era: era}
 		if !newer {
 			next.state = old.state
 		}
-		if b.held.CompareAndSwap(old, next) {
+		if b.adopted.CompareAndSwap(old, next) {
 			return newer
 		}
 	}
 }
 
-// Meet notes an era of the store, and returns the one met before if the store has come back
-// from an older copy since.
+// Meet records an era of the store. If the store has been restored from an older copy since
+// the last call, it returns the previous era and true.
 func (b *Belief) Meet(era int64) (before int64, restored bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.met && era <= b.era {
+	if b.eraKnown && era <= b.newestEra {
 		return 0, false
 	}
-	before, restored = b.era, b.met
-	b.era, b.met = era, true
+	before, restored = b.newestEra, b.eraKnown
+	b.newestEra, b.eraKnown = era, true
 	if restored {
-		b.settledMs = b.steady() + settleMs
+		b.resettledMs = b.steady() + resettleMs
 	}
 	return before, restored
 }
 
-// unsettled reports whether operators may not have written yet again at an instant what the
-// store had lost in an era.
-func (b *Belief) unsettled(era int64, atMs clock.Millis) bool {
+// operatorsMayRewrite reports whether, at a point in time in an era, operators may still have
+// to write again what the restored store lost.
+func (b *Belief) operatorsMayRewrite(era int64, atMs clock.Millis) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return era >= b.era && atMs < b.settledMs
+	return era >= b.newestEra && atMs < b.resettledMs
 }
 
-// Confirm takes in a confirmation. One of a lower version than that in force counts only if it is of
-// no later era: a store's copy may hold a lower one.
+// Confirm records a confirmation. A confirmation of a version lower than the current one
+// counts only if its era is not newer than the current state's, because a restored store may
+// hold a lower version.
 func (b *Belief) Confirm(p Confirmation) {
-	h := b.held.Load()
+	h := b.adopted.Load()
 	switch {
 	case h == nil || h.state.version < p.Version:
 		return
 	case h.state.version > p.Version && h.era < p.Era:
 		return
-	case b.unsettled(p.Era, p.AtMs):
+	case b.operatorsMayRewrite(p.Era, p.AtMs):
 		return
 	}
 	for {
@@ -128,7 +129,7 @@
 	}
 }
 
-// Confirmed returns the newest confirmation, if there is one.
+// Confirmed returns the newest confirmation, if any.
 func (b *Belief) Confirmed() (p Confirmation, ok bool) {
 	if newest := b.confirmed.Load(); newest != nil {
 		return *newest, true
@@ -136,11 +137,11 @@
 	return Confirmation{}, false
 }
 
-// ConfirmedMs returns the steady instant of the newest confirmation, or 0.
+// ConfirmedMs returns the monotonic time of the newest confirmation, or 0 if there is none.
 func (b *Belief) ConfirmedMs() clock.Millis {
 	p, _ := b.Confirmed()
 	return p.AtMs
 }
 
-// AgeMs returns how long ago the state in force was confirmed to be the newest.
+// AgeMs returns the time since the current state was last confirmed to be the newest.
 func (b *Belief) AgeMs() clock.Millis { return b.steady() - b.ConfirmedMs() }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,7 +1,6 @@
-// Package routing holds the routing state that a box works by: which host and
-// path go to which pool of upstreams, what each kind of request permits, and
-// which keys belong to which organisation. A State is immutable and says which
-// version it is; where it comes from is the business of a source.
+// Package routing holds a box's routing state: which pool of upstreams serves a host and path,
+// how requests of each kind may be retried, and which keys belong to which organisation. A
+// State is immutable and carries its version. Loading states is left to the sources.
 package routing
 
 import (
@@ -14,10 +13,10 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// ErrInvalid marks a state that can't be used; the error names the field.
+// ErrInvalid is returned for an unusable state; the message names the field.
 var ErrInvalid = errors.New("invalid routing state")
 
-// Kind says what may be done with a request after a failure.
+// Kind determines how a request may be handled after a failure.
 type Kind string
 
 // Kinds of requests.
@@ -26,38 +25,38 @@
 	Safe Kind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe Kind = "unsafe"
-	// Stream requests are answered by events; without Resumable they run at
-	// most once.
+	// Stream requests are answered by a stream of events. Unless the route is Resumable, they
+	// run at most once.
 	Stream Kind = "stream"
 )
 
-// Split is one pool's part of a route.
+// Split is the weight of one pool in a route.
 type Split struct {
 	Pool   string `json:"pool"`
 	Weight int    `json:"weight"`
 }
 
-// Route sends the requests of a host and a path prefix to pools.
+// Route sends requests for a host and path prefix to pools.
 type Route struct {
 	Name       string `json:"name"`
 	Host       string `json:"host"`
 	PathPrefix string `json:"path_prefix"`
 	Kind       Kind   `json:"kind"`
-	// Resumable streams may be continued at another upstream.
+	// Resumable streams may be continued by another upstream.
 	Resumable bool `json:"resumable"`
-	// Attempts is the largest number of upstreams that one request is sent to.
+	// Attempts is the maximum number of upstreams to which one request is sent.
 	Attempts int `json:"attempts"`
-	// TimeoutMs is the longest time that the operators want a request held.
+	// TimeoutMs is the maximum duration of a request.
 	TimeoutMs clock.Millis `json:"timeout_ms"`
-	// ObjectiveMs is the time to the first byte within which an answer is good.
+	// ObjectiveMs is the service level objective for the time to the first byte.
 	ObjectiveMs clock.Millis `json:"objective_ms"`
-	// GapMs is the longest good pause between two events of a stream.
+	// GapMs is the maximum acceptable pause between two events of a stream.
 	GapMs clock.Millis `json:"gap_ms"`
-	// Priority ranks requests; 0 is the most urgent.
+	// Priority orders requests; 0 is the most urgent.
 	Priority int `json:"priority"`
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool `json:"public"`
-	// Sticky routes are ranked by the prompt, so that caches are used again.
+	// Sticky routes choose upstreams by the prompt, so that cached prompts are reused.
 	Sticky bool    `json:"sticky"`
 	Splits []Split `json:"splits"`
 }
@@ -67,8 +66,8 @@
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// PoolFor chooses one of the route's pools for a number drawn evenly from all
-// of uint64: the same number gives the same pool while the weights stay.
+// PoolFor chooses one of the route's pools for a random number drawn uniformly from all uint64
+// values. The same number gives the same pool as long as the weights are unchanged.
 func (r *Route) PoolFor(draw uint64) string {
 	total := 0
 	for _, s := range r.Splits {
@@ -94,17 +93,17 @@
 	case r.Kind != Safe && r.Kind != Unsafe && r.Kind != Stream:
 		return fmt.Errorf("%w: route %q: kind %q", ErrInvalid, r.Name, r.Kind)
 	case r.Attempts < 1 || r.TimeoutMs < 1:
-		return fmt.Errorf("%w: route %q: attempts and time-out must be positive", ErrInvalid, r.Name)
+		return fmt.Errorf("%w: route %q: attempts and timeout must be positive", ErrInvalid, r.Name)
 	default:
 		return nil
 	}
 }
 
-// Engine is what all upstreams of a pool of model engines have in common.
+// Engine holds the settings shared by all upstreams of a pool of model engines.
 type Engine struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the maximum number of requests that an engine runs concurrently.
 	Slots int `json:"slots"`
-	// CacheTokens is the memory of an engine for prompts.
+	// CacheTokens is the size of an engine's prompt cache in tokens.
 	CacheTokens int `json:"cache_tokens"`
 	// Transfers is set when engines copy cached prompts from each other.
 	Transfers bool `json:"transfers"`
@@ -113,22 +112,23 @@
 // Pool is a set of upstreams that serve the same requests.
 type Pool struct {
 	Name string `json:"name"`
-	// MaxConnections is what one upstream accepts from all boxes together.
+	// MaxConnections is the maximum number of connections that one upstream accepts from all
+	// boxes together.
 	MaxConnections int `json:"max_connections"`
 	// Engine is nil for plain services.
 	Engine *Engine `json:"engine,omitempty"`
 }
 
-// Organisation is who a key belongs to.
+// Organisation is the owner of a set of keys.
 type Organisation struct {
 	Name string `json:"name"`
-	// Priority goes before that of a route when HasPriority is set.
+	// Priority overrides the route's priority when HasPriority is set.
 	Priority    int      `json:"priority"`
 	HasPriority bool     `json:"has_priority"`
 	Keys        []string `json:"keys"`
 }
 
-// Limits bound what a caller may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	MaxHeaderBytes  int          `json:"max_header_bytes"`
 	MaxBodyBytes    int64        `json:"max_body_bytes"`
@@ -136,7 +136,7 @@
 	IdleTimeoutMs   clock.Millis `json:"idle_timeout_ms"`
 }
 
-// Content is what a State is made of.
+// Content is the data of a State.
 type Content struct {
 	Version       int64          `json:"version"`
 	Routes        []Route        `json:"routes"`
@@ -145,7 +145,7 @@
 	Limits        Limits         `json:"limits"`
 }
 
-// State is one version of the routing state, ready for look-ups.
+// State is one version of the routing state, indexed for lookups.
 type State struct {
 	content Content
 	version int64
@@ -156,7 +156,7 @@
 	limits  Limits
 }
 
-// New checks the content and returns its State.
+// New validates the content and returns its State.
 func New(c Content) (*State, error) {
 	s := &State{
 		content: c, version: c.Version, hosts: map[string][]*Route{}, pools: map[string]*Pool{},
@@ -173,7 +173,7 @@
 		s.hosts[r.Host] = append(s.hosts[r.Host], r)
 	}
 	for _, routes := range s.hosts {
-		// The longest prefix is found first.
+		// Sorts by descending prefix length, so that the longest match is found first.
 		slices.SortFunc(routes, func(a, b *Route) int { return len(b.PathPrefix) - len(a.PathPrefix) })
 	}
 	for i := range c.Organisations {
@@ -184,22 +184,24 @@
 	return s, nil
 }
 
-// Content returns what the state is made of, to be read only.
+// Content returns the state's data, which must not be modified.
 func (s *State) Content() Content { return s.content }
 
-// Version returns the state's version.
+// Version returns the version of the state.
 func (s *State) Version() int64 { return s.version }
 
-// Limits returns what a caller may send.
+// Limits returns the bounds on requests of callers.
 func (s *State) Limits() Limits { return s.limits }
 
-// Keyed reports whether requests need a key at all.
+// Keyed reports whether the state has any organisations, so that routes that are not public
+// require a key.
 func (s *State) Keyed() bool { return s.keyed }
 
-// Pool returns a pool by name, or nil.
+// Pool returns a pool by name, or nil if there is none.
 func (s *State) Pool(name string) *Pool { return s.pools[name] }
 
-// Match returns the route with the longest prefix that begins the path, or nil.
+// Match returns the route with the longest prefix that matches the path, or nil if there is
+// none.
 func (s *State) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -212,10 +214,10 @@
 	return nil
 }
 
-// Organisation returns whose key it is, or nil.
+// Organisation returns the owner of a key, or nil if the key is unknown.
 func (s *State) Organisation(key string) *Organisation { return s.keys[key] }
 
-// RouteCount returns how many routes the state has.
+// RouteCount returns the number of routes.
 func (s *State) RouteCount() int {
 	count := 0
 	for _, routes := range s.hosts {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -31,12 +31,12 @@
 func TestMatch(t *testing.T) {
 	s := mustNew(t, content(1))
 	for path, want := range map[string]string{"/x/": "short", "/x/z": "short", "/x/y/": "long", "/x/y/z": "long"} {
-		t.Run("longest prefix of "+path, func(t *testing.T) {
+		t.Run("longest prefix for "+path, func(t *testing.T) {
 			require.NotNil(t, s.Match("a.example:80", path))
 			assert.Equal(t, want, s.Match("a.example", path).Name)
 		})
 	}
-	t.Run("no route of another host or path", func(t *testing.T) {
+	t.Run("no route for another host or path", func(t *testing.T) {
 		assert.Nil(t, s.Match("b.example", "/x/"))
 		assert.Nil(t, s.Match("a.example", "/x"))
 	})
@@ -57,14 +57,14 @@
 }
 
 func TestNewRefuses(t *testing.T) {
-	for name, spoil := range map[string]func(r *Route){
-		"a route without a pool":  func(r *Route) { r.Splits = nil },
-		"an unknown kind":         func(r *Route) { r.Kind = "odd" },
-		"a route without attempt": func(r *Route) { r.Attempts = 0 },
+	for name, breakRoute := range map[string]func(r *Route){
+		"a route without a pool":   func(r *Route) { r.Splits = nil },
+		"an unknown kind":          func(r *Route) { r.Kind = "odd" },
+		"a route without attempts": func(r *Route) { r.Attempts = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := content(1)
-			spoil(&c.Routes[0])
+			breakRoute(&c.Routes[0])
 			_, err := New(c)
 			require.ErrorIs(t, err, ErrInvalid)
 			assert.ErrorContains(t, err, `"short"`)
@@ -75,20 +75,20 @@
 func TestBelief(t *testing.T) {
 	now := clock.Millis(1000)
 	b := NewBelief(func() clock.Millis { return now })
-	t.Run("never goes back", func(t *testing.T) {
+	t.Run("ignores a lower version", func(t *testing.T) {
 		assert.True(t, b.Adopt(mustNew(t, content(7)), 0))
 		assert.False(t, b.Adopt(mustNew(t, content(6)), 0))
 		assert.Equal(t, int64(7), b.State().Version())
 	})
-	t.Run("is proved by what was newest at an instant", func(t *testing.T) {
+	t.Run("is confirmed by the same version", func(t *testing.T) {
 		b.Confirm(Confirmation{Version: 7, AtMs: 900})
 		assert.Equal(t, clock.Millis(100), b.AgeMs())
 	})
-	t.Run("is not proved by a version that it does not have yet", func(t *testing.T) {
+	t.Run("is not confirmed by a newer version", func(t *testing.T) {
 		b.Confirm(Confirmation{Version: 8, AtMs: 990})
 		assert.Equal(t, clock.Millis(100), b.AgeMs())
 	})
-	t.Run("an older proof changes nothing", func(t *testing.T) {
+	t.Run("an older confirmation changes nothing", func(t *testing.T) {
 		b.Confirm(Confirmation{Version: 7, AtMs: 500})
 		assert.Equal(t, clock.Millis(100), b.AgeMs())
 	})
