--- a/internal/claim/ledger.go
+++ b/internal/claim/ledger.go
@@ -2,23 +2,23 @@
 
 import "dooryard.example/dooryard/internal/clock"
 
-// State is where a key stands for one claimant.
+// State is the state of a key from the point of view of one claimant.
 type State string
 
 // States of a key.
 const (
-	// Absent means that no claim of this owner was folded yet.
+	// Absent means that no claim by this owner has been applied yet.
 	Absent State = "absent"
 	// Won means that this owner holds the key.
 	Won State = "won"
-	// Held means that another owner holds the key and its end is not recorded.
+	// Held means that another owner holds the key and its outcome is not recorded yet.
 	Held State = "held"
-	// Settled means that another owner's request ended, with its answer.
+	// Settled means that another owner's request has ended and its answer is recorded.
 	Settled State = "settled"
-	// Mismatch means that the key was used for another request.
+	// Mismatch means that the key was used for a different request.
 	Mismatch State = "mismatch"
-	// Given means that this owner has released its claim.
-	Given State = "released"
+	// Released means that this owner has released its claim.
+	Released State = "released"
 )
 
 // Verdict is the state of a key for one claimant.
@@ -28,16 +28,16 @@
 	Answer *Answer `json:"answer,omitempty"`
 }
 
-// Ledger is a claim stream folded up to one offset: which request owns each key
-// within the window. It is a pure function of the stream; the time it knows is
-// that of the log's records.
+// Ledger is the state of a claim stream after replaying it up to one offset: it records which
+// request owns each key within the window. It is a pure function of the stream; its only clock
+// is the timestamps of the log's records.
 type Ledger struct {
 	windowMs clock.Millis
 	entries  map[string]*entry
 	released map[string]clock.Millis
-	// order lists keys by the time of their newest owner, for expiry.
-	order []expiry
-	nowMs clock.Millis
+	// expiries lists keys and released owners in the order in which they expire.
+	expiries []expiry
+	nowMs    clock.Millis
 }
 
 type entry struct {
@@ -53,12 +53,12 @@
 	atMs  clock.Millis
 }
 
-// NewLedger returns an empty ledger that remembers keys for a window.
+// NewLedger returns an empty ledger that remembers keys for windowMs.
 func NewLedger(windowMs clock.Millis) *Ledger {
 	return &Ledger{windowMs: windowMs, entries: map[string]*entry{}, released: map[string]clock.Millis{}}
 }
 
-// Apply folds the records of one batch, which the log took at an instant.
+// Apply replays the records of one batch, with the time at which the log accepted it.
 func (l *Ledger) Apply(records []Record, atMs clock.Millis) {
 	l.nowMs = max(l.nowMs, atMs)
 	l.expire()
@@ -81,15 +81,15 @@
 }
 
 func (l *Ledger) claim(r *Record) {
-	if _, gone := l.released[r.Owner]; gone || l.entries[r.Key] != nil {
+	if _, released := l.released[r.Owner]; released || l.entries[r.Key] != nil {
 		return
 	}
 	l.entries[r.Key] = &entry{owner: r.Owner, digest: r.Digest, claimedMs: l.nowMs}
-	l.order = append(l.order, expiry{key: r.Key, owner: r.Owner, atMs: l.nowMs + l.windowMs})
+	l.expiries = append(l.expiries, expiry{key: r.Key, owner: r.Owner, atMs: l.nowMs + l.windowMs})
 }
 
-// release frees the key, and remembers the owner so that a copy of its claim
-// that comes later folds to nothing.
+// release frees the key. It remembers the owner, so that a duplicate of its claim that arrives
+// later has no effect.
 func (l *Ledger) release(r *Record) {
 	e := l.entries[r.Key]
 	if e != nil && e.owner == r.Owner {
@@ -99,13 +99,13 @@
 		delete(l.entries, r.Key)
 	}
 	l.released[r.Owner] = l.nowMs
-	l.order = append(l.order, expiry{owner: r.Owner, atMs: l.nowMs + l.windowMs})
+	l.expiries = append(l.expiries, expiry{owner: r.Owner, atMs: l.nowMs + l.windowMs})
 }
 
 func (l *Ledger) expire() {
 	done := 0
-	for done < len(l.order) && l.order[done].atMs <= l.nowMs {
-		due := l.order[done]
+	for done < len(l.expiries) && l.expiries[done].atMs <= l.nowMs {
+		due := l.expiries[done]
 		if e := l.entries[due.key]; e != nil && e.owner == due.owner {
 			delete(l.entries, due.key)
 		}
@@ -115,14 +115,14 @@
 		done++
 	}
 	if done > 0 {
-		l.order = append([]expiry(nil), l.order[done:]...)
+		l.expiries = append([]expiry(nil), l.expiries[done:]...)
 	}
 }
 
-// Verdict returns where a claimant stands.
+// Verdict returns the state of a key for a claimant.
 func (l *Ledger) Verdict(key, owner, digest string) Verdict {
-	if _, gone := l.released[owner]; gone {
-		return Verdict{State: Given}
+	if _, released := l.released[owner]; released {
+		return Verdict{State: Released}
 	}
 	e := l.entries[key]
 	switch {
@@ -139,5 +139,5 @@
 	}
 }
 
-// Len returns how many keys are remembered.
+// Len returns the number of keys in the ledger.
 func (l *Ledger) Len() int { return len(l.entries) }
--- a/internal/claim/ledger_test.go
+++ b/internal/claim/ledger_test.go
@@ -22,7 +22,7 @@
 	return r
 }
 
-// ledgerAfter folds one record each millisecond.
+// ledgerAfter replays one record per millisecond.
 func ledgerAfter(records ...Record) *Ledger {
 	l := NewLedger(testWindowMs)
 	for i, r := range records {
@@ -37,34 +37,34 @@
 }
 
 func TestLedger(t *testing.T) {
-	t.Run("lets the first claim win", func(t *testing.T) {
+	t.Run("first claim wins", func(t *testing.T) {
 		l := ledgerAfter(record(TypeClaim, "a"), record(TypeClaim, "b"))
 		assertState(t, Won, l, "a")
 		assertState(t, Held, l, "b")
 	})
-	t.Run("gives others the recorded answer", func(t *testing.T) {
+	t.Run("other claimants get the recorded answer", func(t *testing.T) {
 		l := ledgerAfter(record(TypeClaim, "a"), record(TypeSettle, "a"))
 		assertState(t, Settled, l, "b")
 	})
-	t.Run("lets another win after a release", func(t *testing.T) {
+	t.Run("another claim wins after a release", func(t *testing.T) {
 		l := ledgerAfter(record(TypeClaim, "a"), record(TypeRelease, "a"), record(TypeClaim, "b"))
-		assertState(t, Given, l, "a")
+		assertState(t, Released, l, "a")
 		assertState(t, Won, l, "b")
 	})
-	t.Run("takes a claim that comes after its release for nothing", func(t *testing.T) {
+	t.Run("a claim after its release has no effect", func(t *testing.T) {
 		l := ledgerAfter(record(TypeRelease, "a"), record(TypeClaim, "a"))
-		assertState(t, Given, l, "a")
+		assertState(t, Released, l, "a")
 		assertState(t, Absent, l, "b")
 	})
-	t.Run("does not release what was settled", func(t *testing.T) {
+	t.Run("a settled key is not released", func(t *testing.T) {
 		l := ledgerAfter(record(TypeClaim, "a"), record(TypeSettle, "a"), record(TypeRelease, "a"))
 		assertState(t, Settled, l, "b")
 	})
-	t.Run("tells another request under the same key apart", func(t *testing.T) {
+	t.Run("a different request under the same key is a mismatch", func(t *testing.T) {
 		l := ledgerAfter(record(TypeClaim, "a"))
 		assert.Equal(t, Mismatch, l.Verdict(NewKey("choir", "k"), "b", "other").State)
 	})
-	t.Run("forgets a key after its window", func(t *testing.T) {
+	t.Run("a key expires after its window", func(t *testing.T) {
 		l := ledgerAfter(record(TypeClaim, "a"))
 		l.Apply(nil, testWindowMs)
 		assertState(t, Absent, l, "b")
@@ -72,18 +72,18 @@
 	})
 }
 
-// claimant is a box's request in a random history: it may only send after it
-// saw that it won, and may only say not-run when it never sent.
+// claimant is a box's request in a random history. It may send only after it has read that it
+// won, and may report that it did not run only if it never sent.
 type claimant struct {
-	owner string
-	seen  int
-	sent  bool
-	gave  bool
+	owner    string
+	seen     int
+	sent     bool
+	released bool
 }
 
-// TestLedgerOfRandomHistories draws histories of claimants that see the stream
-// late, whose records are appended twice, late or after they gave up, and checks
-// that no key runs twice and that nobody who said not-run ever ran.
+// TestLedgerOfRandomHistories draws histories of claimants that read the stream late and whose
+// records are appended twice, late, or after their release. It checks that at most one request
+// runs under a key, and that no request that was reported as not run has run.
 func TestLedgerOfRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := []Record{}
@@ -94,27 +94,27 @@
 		}
 		for range 60 {
 			c := rapid.SampledFrom(claimants).Draw(t, "claimant")
-			switch rapid.SampledFrom([]string{"append", "append", "repeat", "see", "see", "act", "give up"}).Draw(t, "step") {
+			switch rapid.SampledFrom([]string{"append", "append", "duplicate", "read", "read", "send", "release"}).Draw(t, "step") {
 			case "append":
 				if len(pending) > 0 {
-					at := rapid.IntRange(0, len(pending)-1).Draw(t, "which")
-					log = append(log, pending[at])
-					pending = append(pending[:at:at], pending[at+1:]...)
+					i := rapid.IntRange(0, len(pending)-1).Draw(t, "which")
+					log = append(log, pending[i])
+					pending = append(pending[:i:i], pending[i+1:]...)
 				}
-			case "repeat":
+			case "duplicate":
 				if len(log) > 0 {
 					log = append(log, rapid.SampledFrom(log).Draw(t, "copy"))
 				}
-			case "see":
+			case "read":
 				c.seen = rapid.IntRange(c.seen, len(log)).Draw(t, "seen")
-			case "act":
-				if !c.gave && !c.sent && ledgerAfter(log[:c.seen]...).Verdict(NewKey("choir", "k"), c.owner, "d").State == Won {
+			case "send":
+				if !c.released && !c.sent && ledgerAfter(log[:c.seen]...).Verdict(NewKey("choir", "k"), c.owner, "d").State == Won {
 					c.sent = true
 					pending = append(pending, record(TypeSettle, c.owner))
 				}
-			case "give up":
-				if !c.sent && !c.gave {
-					c.gave = true
+			case "release":
+				if !c.sent && !c.released {
+					c.released = true
 					pending = append(pending, record(TypeRelease, c.owner))
 				}
 			}
@@ -136,7 +136,7 @@
 		"owner":  `{"t":"claim","k":"` + NewKey("o", "k") + `"}`,
 		"answer": `{"t":"settle","k":"` + NewKey("o", "k") + `","o":"a"}`,
 	} {
-		t.Run("refuses a wrong "+name, func(t *testing.T) {
+		t.Run("rejects an invalid "+name, func(t *testing.T) {
 			var r Record
 			assert.ErrorIs(t, json.Unmarshal([]byte(data), &r), ErrMalformed)
 		})
@@ -144,7 +144,7 @@
 }
 
 func TestShards(t *testing.T) {
-	t.Run("spread keys evenly", func(t *testing.T) {
+	t.Run("keys are spread evenly", func(t *testing.T) {
 		counts := make([]int, Shards)
 		for i := range 64_000 {
 			counts[Shard(NewKey("o", fmt.Sprint(i)))]++
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -1,6 +1,6 @@
-// Package claim makes sure that a request which may not be repeated runs at most
-// once. Each such request is claimed on the platform's log before it is sent;
-// the first claim in log order wins, whoever made it.
+// Package claim ensures that a request that must not be repeated runs at most once. Each such
+// request is claimed on the platform's log before it is sent. The first claim in log order
+// wins, regardless of which box made it.
 package claim
 
 import (
@@ -15,65 +15,65 @@
 	"dooryard.example/dooryard/internal/codec"
 )
 
-// Sentinel errors of claims.
+// Errors returned by this package.
 var (
-	// ErrUnavailable means that no verdict came in time. The claimant must not
-	// send the request any more.
+	// ErrUnavailable means that no verdict arrived in time. The claimant must not send the
+	// request afterwards.
 	ErrUnavailable = errors.New("claim log unavailable")
 	// ErrMalformed means that a record could not be decoded.
 	ErrMalformed = errors.New("malformed claim record")
 )
 
-// Type is what a record does.
+// Type is the type of a record.
 type Type string
 
 // Types of a record.
 const (
-	// TypeClaim asks for the key.
+	// TypeClaim requests ownership of the key.
 	TypeClaim Type = "claim"
-	// TypeSettle records how the winner's request ended.
+	// TypeSettle records the outcome of the winner's request.
 	TypeSettle Type = "settle"
-	// TypeRelease says that the claimant has not sent its request and never
-	// will, so that another claim may win the key.
+	// TypeRelease states that the claimant has not sent its request and never will, so that
+	// another claim may win the key.
 	TypeRelease Type = "release"
 )
 
 // Bounds of a record.
 const (
-	keyBytes   = 18
-	maxIDBytes = 64
-	maxBatch   = 500
-	// MaxAnswerBytes is the longest body that a settle record keeps.
+	keyBytes        = 18
+	maxIDBytes      = 64
+	maxBatchRecords = 500
+	// MaxAnswerBytes is the maximum length of a body stored in a settle record.
 	MaxAnswerBytes = 8 << 10
 )
 
-// Record is one entry of a claim stream. Field names are short: records are most
-// of the log's bytes.
+// Record is one entry of a claim stream. Its JSON names are short because claim records make
+// up most of the log's bytes.
 type Record struct {
 	Type Type `json:"t"`
-	// Key is the hash of the organisation and its idempotency key.
+	// Key is a hash of the organisation and its idempotency key.
 	Key string `json:"k"`
-	// Owner is the id of the request that claims.
+	// Owner is the id of the claiming request.
 	Owner string `json:"o"`
-	// Digest is the hash of what was asked, so that a key is not used for two
-	// different things.
+	// Digest is a hash of the request's content. It detects a key that is reused for a
+	// different request.
 	Digest string `json:"d,omitempty"`
-	// Answer is how the request ended, in a TypeSettle record.
+	// Answer is the outcome of the request, set only in a TypeSettle record.
 	Answer *Answer `json:"a,omitempty"`
 }
 
-// Answer is what the caller got, kept for callers that ask again.
+// Answer is the response sent to the caller, stored for callers that repeat the request.
 type Answer struct {
 	Status      int    `json:"s"`
 	ContentType string `json:"c,omitempty"`
 	Body        []byte `json:"b,omitempty"`
-	// Cut is set when the body was too long to be kept.
+	// Cut is set when the body was too long to be stored.
 	Cut bool `json:"x,omitempty"`
-	// Unknown is set when the request may have run and its answer was not seen.
+	// Unknown is set when the request may have run but its response was not seen.
 	Unknown bool `json:"u,omitempty"`
 }
 
-// UnmarshalJSON decodes and checks a record.
+// UnmarshalJSON decodes and validates a record.
 func (r *Record) UnmarshalJSON(data []byte) error {
 	type wire Record
 	decoded, err := codec.Decode[wire](data, ErrMalformed)
@@ -94,17 +94,17 @@
 	return nil
 }
 
-// Batch is the content of one log record: several claim records in order.
+// Batch is the content of one log record: one or more claim records in order.
 type Batch struct {
 	Records []Record `json:"records"`
 }
 
-// NewKey returns the key of an organisation's idempotency key.
+// NewKey returns the claim key for an organisation's idempotency key.
 func NewKey(organisation, idempotencyKey string) string {
 	return shortHash([]byte(organisation), []byte(idempotencyKey))
 }
 
-// NewDigest returns the digest of what a request asks for.
+// NewDigest returns the digest of a request's content.
 func NewDigest(method, path string, body []byte) string {
 	return shortHash([]byte(method), []byte(path), body)
 }
@@ -112,19 +112,18 @@
 func shortHash(parts ...[]byte) string {
 	digest := sha256.New()
 	for _, part := range parts {
-		// Writes to a digest never fail.
+		// Writing to a hash never fails.
 		_, _ = digest.Write([]byte(strconv.Itoa(len(part)) + ":"))
 		_, _ = digest.Write(part)
 	}
 	return base64.RawURLEncoding.EncodeToString(digest.Sum(nil)[:keyBytes])
 }
 
-// Shards is the fixed number of claim streams. It bounds the log's appends for
-// claims (shards times batches a second) and never changes, for a key must stay
-// on its stream.
+// Shards is the number of claim streams. It bounds the rate of appends for claims to shards
+// times batches per second. It must never change, because a key must stay on its stream.
 const Shards = 64
 
-// Shard returns the number of the stream of a key.
+// Shard returns the number of the stream that holds a key.
 func Shard(key string) int { return int(xxhash.Sum64String(key) % Shards) }
 
 // StreamName returns the name of a shard's log stream.
--- a/internal/claim/registry.go
+++ b/internal/claim/registry.go
@@ -13,81 +13,83 @@
 	"dooryard.example/dooryard/internal/logstream"
 )
 
-// Settings bound a registry.
+// Settings configure a Stream.
 type Settings struct {
-	// BatchMs is the time records gather before one append.
+	// BatchMs is how long records are collected before one append.
 	BatchMs clock.Millis
 	// WindowMs is how long a key is remembered.
 	WindowMs clock.Millis
 }
 
-// Registry holds one claim stream: it follows it, and appends records to it in
-// batches. It is safe for concurrent use.
-type Registry struct {
-	stream   string
+// Stream follows one claim stream and appends records to it in batches. It is safe for
+// concurrent use.
+type Stream struct {
+	name     string
 	log      logstream.Log
 	settings Settings
 	clock    clock.Clock
 	logger   *zap.Logger
 
-	mu      sync.Mutex
-	ledger  *Ledger
-	changed chan struct{}
-	pending []Record
-	wake    chan struct{}
-	usedMs  clock.Millis
+	mu          sync.Mutex
+	ledger      *Ledger
+	changed     chan struct{}
+	pending     []Record
+	flushSignal chan struct{}
+	usedMs      clock.Millis
 }
 
-// NewRegistry returns a registry; Run must be called for it to do anything.
-func NewRegistry(stream string, log logstream.Log, settings Settings, c clock.Clock, logger *zap.Logger) *Registry {
-	return &Registry{
-		stream: stream, log: log, settings: settings, clock: c, logger: logger,
-		ledger: NewLedger(settings.WindowMs), changed: make(chan struct{}), wake: make(chan struct{}, 1),
+// NewStream returns a stream. It reads and appends nothing until Run is
+// called.
+func NewStream(name string, log logstream.Log, settings Settings, c clock.Clock, logger *zap.Logger) *Stream {
+	return &Stream{
+		name: name, log: log, settings: settings, clock: c, logger: logger,
+		ledger: NewLedger(settings.WindowMs), changed: make(chan struct{}), flushSignal: make(chan struct{}, 1),
 		usedMs: c.Now(),
 	}
 }
 
 // Run follows the stream and appends batches until the context ends.
-func (r *Registry) Run(ctx context.Context) {
+func (s *Stream) Run(ctx context.Context) {
 	group := sync.WaitGroup{}
-	group.Go(func() { r.follow(ctx) })
-	group.Go(func() { r.flushLoop(ctx) })
+	group.Go(func() { s.follow(ctx) })
+	group.Go(func() { s.flushLoop(ctx) })
 	group.Wait()
 }
 
-// follow needs nothing older than the log keeps: what is past retention is past
-// the window too.
-func (r *Registry) follow(ctx context.Context) {
-	logstream.NewLogFollower(r.log, r.stream, r.fold,
-		logstream.WithClock(r.clock), logstream.WithLogger(r.logger)).Run(ctx)
+// follow can start at the oldest record that the log retains, because everything past
+// retention is also past the window.
+func (s *Stream) follow(ctx context.Context) {
+	logstream.NewLogFollower(s.log, s.name, s.applyRecord,
+		logstream.WithClock(s.clock), logstream.WithLogger(s.logger)).Run(ctx)
 }
 
-func (r *Registry) fold(record backing.Record) {
+func (s *Stream) applyRecord(record backing.Record) {
 	var batch Batch
 	if err := json.Unmarshal(record.Data, &batch); err != nil {
-		r.logger.Warn("claim record skipped", zap.Int64("offset", record.Offset), zap.Error(err))
+		s.logger.Warn("skipping malformed claim record", zap.Int64("offset", record.Offset), zap.Error(err))
 		batch.Records = nil
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.ledger.Apply(batch.Records, record.TimeMs)
-	close(r.changed)
-	r.changed = make(chan struct{})
-}
-
-// Claim asks for a key and waits for the verdict. While another request holds
-// the key it waits for that one's end, as long as the context lives: then the
-// verdict is Held. ErrUnavailable means that no verdict came before the context
-// ended; the claim may still win later, so the claimant has to release it.
-func (r *Registry) Claim(ctx context.Context, record Record) (Verdict, error) {
-	r.enqueue(record)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ledger.Apply(batch.Records, record.TimeMs)
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
+
+// Claim requests a key and waits for the verdict. While another request holds the key, it
+// waits for that request to end. If the context ends first, the verdict is Held.
+// ErrUnavailable means that no verdict arrived before the context ended; the claim may still
+// win later, so the claimant must release it.
+func (s *Stream) Claim(ctx context.Context, record Record) (Verdict, error) {
+	s.enqueue(record)
 	held := false
 	for {
-		verdict, changed := r.verdict(record)
+		verdict, changed := s.verdict(record)
 		switch {
 		case verdict.State == Absent && held:
-			// The holder has released the key; the first claim folded to nothing.
-			r.enqueue(record)
+			// The holder has released the key. The first claim had no effect because the key was
+			// held when it was applied.
+			s.enqueue(record)
 			held = false
 		case verdict.State == Held:
 			held = true
@@ -105,103 +107,104 @@
 	}
 }
 
-func (r *Registry) verdict(record Record) (Verdict, <-chan struct{}) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.ledger.Verdict(record.Key, record.Owner, record.Digest), r.changed
+func (s *Stream) verdict(record Record) (Verdict, <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.ledger.Verdict(record.Key, record.Owner, record.Digest), s.changed
 }
 
 // Submit queues a record without waiting for its effect.
-func (r *Registry) Submit(record Record) { r.enqueue(record) }
+func (s *Stream) Submit(record Record) { s.enqueue(record) }
 
-// Lookup returns where a claimant stands, as far as the stream was read.
-func (r *Registry) Lookup(record Record) Verdict {
-	verdict, _ := r.verdict(record)
+// Lookup returns the state of a key for a claimant, as far as the stream has been read.
+func (s *Stream) Lookup(record Record) Verdict {
+	verdict, _ := s.verdict(record)
 	return verdict
 }
 
-// UsedMs returns the instant of the newest record handed in.
-func (r *Registry) UsedMs() clock.Millis {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.usedMs
+// UsedMs returns the time at which the newest record was queued.
+func (s *Stream) UsedMs() clock.Millis {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.usedMs
 }
 
-// Pending returns how many records wait to be appended.
-func (r *Registry) Pending() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.pending)
+// Pending returns the number of records waiting to be appended.
+func (s *Stream) Pending() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.pending)
 }
 
-func (r *Registry) enqueue(record Record) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.pending = append(r.pending, record)
-	r.usedMs = r.clock.Now()
+func (s *Stream) enqueue(record Record) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.pending = append(s.pending, record)
+	s.usedMs = s.clock.Now()
 	select {
-	case r.wake <- struct{}{}:
+	case s.flushSignal <- struct{}{}:
 	default:
 	}
 }
 
-func (r *Registry) flushLoop(ctx context.Context) {
+func (s *Stream) flushLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
-		case <-r.wake:
+		case <-s.flushSignal:
 		case <-ctx.Done():
 			return
 		}
-		if r.clock.Sleep(ctx, r.settings.BatchMs) != nil {
+		if s.clock.Sleep(ctx, s.settings.BatchMs) != nil {
 			return
 		}
-		r.flush(ctx)
+		s.flush(ctx)
 	}
 }
 
-// flush appends what is pending. A batch whose reply was lost is appended again:
-// second copies of its records fold to nothing.
-func (r *Registry) flush(ctx context.Context) {
-	delayMs := r.settings.BatchMs
+// flush appends the pending records. A batch whose reply was lost is appended again, because
+// duplicates of its records have no effect.
+func (s *Stream) flush(ctx context.Context) {
+	backoffMs := s.settings.BatchMs
 	for ctx.Err() == nil {
-		records := r.take()
+		records := s.nextBatch()
 		if len(records) == 0 {
 			return
 		}
-		err := r.append(ctx, records)
+		err := s.append(ctx, records)
 		if err == nil {
 			continue
 		}
-		r.putBack(records)
-		r.logger.Debug("claims not appended", zap.String("stream", r.stream), zap.Error(err))
-		_ = r.clock.Sleep(ctx, delayMs)
-		delayMs = min(2*delayMs, maxFlushDelayMs)
+		s.requeue(records)
+		s.logger.Debug("appending claims failed, retrying", zap.String("stream", s.name), zap.Error(err))
+		_ = s.clock.Sleep(ctx, backoffMs)
+		backoffMs = min(2*backoffMs, maxFlushBackoffMs)
 	}
 }
 
-const maxFlushDelayMs = clock.Second
+const maxFlushBackoffMs = clock.Second
 
-func (r *Registry) append(ctx context.Context, records []Record) error {
+func (s *Stream) append(ctx context.Context, records []Record) error {
 	data, err := json.Marshal(Batch{Records: records})
 	if err != nil {
 		return fmt.Errorf("encode claims: %w", err)
 	}
-	_, err = r.log.Append(ctx, r.stream, data)
+	_, err = s.log.Append(ctx, s.name, data)
 	return err
 }
 
-func (r *Registry) take() []Record {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	count := min(len(r.pending), maxBatch)
-	records := r.pending[:count:count]
-	r.pending = r.pending[count:]
+func (s *Stream) nextBatch() []Record {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	count := min(len(s.pending), maxBatchRecords)
+	records := s.pending[:count:count]
+	s.pending = s.pending[count:]
 	return records
 }
 
-// putBack keeps the records' order: a release must stay behind its claim.
-func (r *Registry) putBack(records []Record) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.pending = append(records, r.pending...)
+// requeue puts records back at the head of the queue. It preserves their order, because a
+// release must follow its claim.
+func (s *Stream) requeue(records []Record) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.pending = append(records, s.pending...)
 }
--- a/internal/claim/service.go
+++ b/internal/claim/service.go
@@ -10,75 +10,75 @@
 	"dooryard.example/dooryard/internal/logstream"
 )
 
-// Service is a box's way to claims: one registry for each shard that this box
-// has been asked for.
+// Service is a box's interface to claims. It has one stream for each shard that this box has
+// used.
 type Service struct {
 	log      logstream.Log
 	settings Settings
 	clock    clock.Clock
 	logger   *zap.Logger
-	// remote asks the box that gathers a shard's records. It returns false when
-	// this box should do it itself.
-	remote Remote
+	// forward sends a record to the shard's coordinator. It returns false if this box should
+	// handle the record itself.
+	forward Forward
 
 	mu         sync.Mutex
-	registries map[int]*Registry
-	running    context.Context
-	handing    int
+	streams    map[int]*Stream
+	runCtx     context.Context
+	submitting int
 	group      sync.WaitGroup
 }
 
-// Remote hands a record to the box that gathers the records of a shard. The
-// boolean is false when that is this box, or when no such box answered.
-type Remote func(ctx context.Context, shard int, record Record) (Verdict, bool)
+// Forward sends a record to the shard's coordinator, the box that batches the shard's appends.
+// It returns false if this box is the coordinator, or if the coordinator did not answer.
+type Forward func(ctx context.Context, shard int, record Record) (Verdict, bool)
 
-// NewService returns a service; Run must be called for it to do anything.
-func NewService(log logstream.Log, settings Settings, remote Remote, c clock.Clock, logger *zap.Logger) *Service {
+// NewService returns a service. It appends nothing until Run is called.
+func NewService(log logstream.Log, settings Settings, forward Forward, c clock.Clock, logger *zap.Logger) *Service {
 	return &Service{
-		log: log, settings: settings, remote: remote, clock: c, logger: logger,
-		registries: map[int]*Registry{},
+		log: log, settings: settings, forward: forward, clock: c, logger: logger,
+		streams: map[int]*Stream{},
 	}
 }
 
-// Run keeps registries going until the context ends.
+// Run runs the streams until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	s.mu.Lock()
-	s.running = ctx
-	for _, registry := range s.registries {
-		s.start(registry)
+	s.runCtx = ctx
+	for _, stream := range s.streams {
+		s.start(stream)
 	}
 	s.mu.Unlock()
 	<-ctx.Done()
-	// From here on nothing new starts, so that the wait ends.
+	// No new goroutines start from here on, so that the wait terminates.
 	s.mu.Lock()
-	s.running = nil
+	s.runCtx = nil
 	s.mu.Unlock()
 	s.group.Wait()
 }
 
-func (s *Service) start(registry *Registry) {
-	if ctx := s.running; ctx != nil {
-		s.group.Go(func() { registry.Run(ctx) })
+func (s *Service) start(stream *Stream) {
+	if ctx := s.runCtx; ctx != nil {
+		s.group.Go(func() { stream.Run(ctx) })
 	}
 }
 
-// registry returns the registry of a shard, started when it is new.
-func (s *Service) registry(shard int) *Registry {
+// stream returns the stream of a shard, and creates and starts it if needed.
+func (s *Service) stream(shard int) *Stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	registry := s.registries[shard]
-	if registry == nil {
-		registry = NewRegistry(StreamName(shard), s.log, s.settings, s.clock, s.logger)
-		s.registries[shard] = registry
-		s.start(registry)
+	stream := s.streams[shard]
+	if stream == nil {
+		stream = NewStream(StreamName(shard), s.log, s.settings, s.clock, s.logger)
+		s.streams[shard] = stream
+		s.start(stream)
 	}
-	return registry
+	return stream
 }
 
-// Claim asks for a key and waits for the verdict. On ErrUnavailable the claimant
-// has given up for good and the claim is released as soon as the log allows.
+// Claim requests a key and waits for the verdict. On ErrUnavailable the claimant must give up
+// the request; the claim is released as soon as the log accepts the release record.
 func (s *Service) Claim(ctx context.Context, record Record) (Verdict, error) {
-	if verdict, answered := s.remote(ctx, Shard(record.Key), record); answered {
+	if verdict, answered := s.forward(ctx, Shard(record.Key), record); answered {
 		return verdict, nil
 	}
 	verdict, err := s.ClaimHere(ctx, record)
@@ -88,44 +88,44 @@
 	return verdict, err
 }
 
-// ClaimHere claims through this box's own registry, also for other boxes.
+// ClaimHere claims through this box's own stream, also on behalf of other boxes.
 func (s *Service) ClaimHere(ctx context.Context, record Record) (Verdict, error) {
-	return s.registry(Shard(record.Key)).Claim(ctx, record)
+	return s.stream(Shard(record.Key)).Claim(ctx, record)
 }
 
-// Submit hands a settle or release record on without waiting for its effect: to
-// the box that gathers the shard, or to this box's own registry.
+// Submit sends a settle or release record to the shard's coordinator, or queues it in this
+// box's own stream. It does not wait for the record's effect.
 func (s *Service) Submit(record Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ctx := s.running
+	ctx := s.runCtx
 	if ctx == nil {
 		return
 	}
-	s.handing++
+	s.submitting++
 	s.group.Go(func() {
-		if _, taken := s.remote(ctx, Shard(record.Key), record); !taken {
+		if _, forwarded := s.forward(ctx, Shard(record.Key), record); !forwarded {
 			s.SubmitHere(record)
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.handing--
+		s.submitting--
 	})
 }
 
-// SubmitHere hands a record to this box's own registry, also for other boxes.
+// SubmitHere queues a record in this box's own stream, also on behalf of other boxes.
 func (s *Service) SubmitHere(record Record) {
-	s.registry(Shard(record.Key)).Submit(record)
+	s.stream(Shard(record.Key)).Submit(record)
 }
 
-// Flushed reports whether no record waits to be appended.
+// Flushed reports whether no record is waiting to be forwarded or appended.
 func (s *Service) Flushed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, registry := range s.registries {
-		if registry.Pending() > 0 {
+	for _, stream := range s.streams {
+		if stream.Pending() > 0 {
 			return false
 		}
 	}
-	return s.handing == 0
+	return s.submitting == 0
 }
