--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -14,19 +14,20 @@
 
 // Times of a lease.
 const (
-	// SpanMs is how long a lease lasts without renewal.
+	// SpanMs is the duration of a lease without renewal.
 	SpanMs = 15 * clock.Second
-	// renewMs is when a holder renews.
-	renewMs = 5 * clock.Second
-	// marginMs is how much earlier a holder takes its own lease for ended: clocks
-	// run differently, by less than this over one span.
-	marginMs = 2 * clock.Second
-	// pollMs is how long one read of the stream waits for news.
+	// renewIntervalMs is the interval between renewals, and the minimum interval between two
+	// attempts to acquire.
+	renewIntervalMs = 5 * clock.Second
+	// clockMarginMs is how much earlier a holder considers its own lease expired. Clock rates
+	// of two machines differ by less than this over one lease duration.
+	clockMarginMs = 2 * clock.Second
+	// pollMs is how long one read of the stream waits for new records.
 	pollMs = 5 * clock.Second
 )
 
-// Keeper follows one lease and holds it when it may. It is safe for concurrent
-// use.
+// Keeper follows one lease, and acquires and renews it while its box is eligible. It is safe
+// for concurrent use.
 type Keeper struct {
 	stream string
 	holder string
@@ -37,46 +38,47 @@
 
 	mu    sync.Mutex
 	state State
-	// heldUntil is the end of this box's lease by its own clock, counted from
-	// before the append that took or renewed it.
-	heldUntil clock.Millis
-	// askedMs is the instant of the newest append.
-	askedMs clock.Millis
-	// sinceMs is when this box first held the lease under the present token.
+	// heldUntilMs is the end of this box's lease by its own clock, counted from before the
+	// append that acquired or renewed it.
+	heldUntilMs clock.Millis
+	// lastAppendMs is the time of the newest append.
+	lastAppendMs clock.Millis
+	// sinceMs is when this box first held the lease under the current token.
 	sinceMs clock.Millis
 }
 
-// NewKeeper returns a keeper for a holder. Wants reports whether this box should
-// try to hold the lease.
+// NewKeeper returns a keeper for a holder. The function wants reports whether this box
+// should try to hold the lease.
 func NewKeeper(stream, holder string, log logstream.Log, wants func() bool, c clock.Clock, logger *zap.Logger) *Keeper {
 	return &Keeper{stream: stream, holder: holder, log: log, wants: wants, clock: c, logger: logger}
 }
 
-// Run follows the lease and renews it until the context ends; then it releases
-// it.
+// Run follows the lease, and acquires and renews it until the context ends. It releases the
+// lease once this box no longer wants it.
 func (k *Keeper) Run(ctx context.Context) {
 	group := sync.WaitGroup{}
 	group.Go(func() { k.follow(ctx) })
-	group.Go(func() { k.clock.Every(ctx, clock.Second, func(clock.Millis) { k.tend(ctx) }) })
+	group.Go(func() { k.clock.Every(ctx, clock.Second, func(clock.Millis) { k.maintain(ctx) }) })
 	group.Wait()
 }
 
-// follow needs nothing older than the log keeps: leases before it have ended.
+// follow can start at the oldest record that the log retains, because all leases before it
+// have expired.
 func (k *Keeper) follow(ctx context.Context) {
-	follower := logstream.NewLogFollower(k.log, k.stream, k.fold,
+	follower := logstream.NewLogFollower(k.log, k.stream, k.applyRecord,
 		logstream.WithClock(k.clock), logstream.WithLogger(k.logger))
 	for ctx.Err() == nil {
-		// A box that does not want the lease need not know who holds it.
+		// A box that does not want the lease has no need to know its holder.
 		if !k.wants() || follower.Poll(ctx, pollMs) != nil {
 			_ = k.clock.Sleep(ctx, clock.Second)
 		}
 	}
 }
 
-func (k *Keeper) fold(record backing.Record) {
+func (k *Keeper) applyRecord(record backing.Record) {
 	var r Record
 	if err := json.Unmarshal(record.Data, &r); err != nil {
-		k.logger.Warn("lease record skipped", zap.Int64("offset", record.Offset), zap.Error(err))
+		k.logger.Warn("skipping malformed lease record", zap.Int64("offset", record.Offset), zap.Error(err))
 		return
 	}
 	k.mu.Lock()
@@ -89,71 +91,71 @@
 	if k.state.token != before.token {
 		k.sinceMs = k.clock.Now()
 	}
-	k.heldUntil = r.AskedMs + SpanMs - marginMs
+	k.heldUntilMs = r.RequestedMs + SpanMs - clockMarginMs
 }
 
-// tend takes a free lease, and renews one that is held.
-func (k *Keeper) tend(ctx context.Context) {
+// maintain acquires a free lease, and renews or releases a held one.
+func (k *Keeper) maintain(ctx context.Context) {
 	action, due := k.due()
 	if !due {
 		return
 	}
-	asked := k.clock.Now()
+	requested := k.clock.Now()
 	k.mu.Lock()
-	k.askedMs = asked
+	k.lastAppendMs = requested
 	k.mu.Unlock()
-	data, err := json.Marshal(Record{Action: action, Holder: k.holder, SpanMs: SpanMs, AskedMs: asked})
+	data, err := json.Marshal(Record{Action: action, Holder: k.holder, SpanMs: SpanMs, RequestedMs: requested})
 	if err != nil {
 		return
 	}
 	if _, err := k.log.Append(ctx, k.stream, data); err != nil {
-		k.logger.Debug("lease not appended", zap.Error(err))
+		k.logger.Debug("appending lease record failed", zap.Error(err))
 	}
 }
 
-// due returns what to append now. The log's time is taken for this box's: a take
-// that comes early folds to nothing.
+// due returns the action to append now, if any. It compares the log's timestamps with this
+// box's clock: an acquire record that is appended too early has no effect.
 func (k *Keeper) due() (Action, bool) {
 	now := k.clock.Now()
 	wants := k.wants()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	mine := k.state.holder == k.holder && now < k.heldUntil
+	holds := k.state.holder == k.holder && now < k.heldUntilMs
 	switch {
-	case mine && !wants:
-		k.heldUntil = 0
+	case holds && !wants:
+		k.heldUntilMs = 0
 		return Release, true
-	case mine:
-		return Renew, now >= k.askedMs+renewMs
+	case holds:
+		return Renew, now >= k.lastAppendMs+renewIntervalMs
 	case wants && now >= k.state.untilMs:
-		return Take, now >= k.askedMs+renewMs
+		return Acquire, now >= k.lastAppendMs+renewIntervalMs
 	default:
 		return "", false
 	}
 }
 
-// Held is a lease that this box holds.
+// Held is a lease held by this box.
 type Held struct {
 	// Token is the fencing token.
 	Token int64
-	// UntilMs is the instant, by this box's clock, after which nothing may be
-	// done under the lease.
+	// UntilMs is the end of the lease by this box's clock. Nothing may be done under the lease
+	// afterwards.
 	UntilMs clock.Millis
-	// SinceMs is when this box first held it.
+	// SinceMs is when this box first held the lease under this token.
 	SinceMs clock.Millis
 }
 
-// Held returns this box's lease, and false when it holds none.
+// Held returns this box's lease, and false if it holds none.
 func (k *Keeper) Held() (Held, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.state.holder != k.holder || k.clock.Now() >= k.heldUntil {
+	if k.state.holder != k.holder || k.clock.Now() >= k.heldUntilMs {
 		return Held{}, false
 	}
-	return Held{Token: k.state.token, UntilMs: k.heldUntil, SinceMs: k.sinceMs}, true
+	return Held{Token: k.state.token, UntilMs: k.heldUntilMs, SinceMs: k.sinceMs}, true
 }
 
-// State returns the lease as this box sees it.
+// State returns the lease as known to this box.
 func (k *Keeper) State() State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,7 +1,7 @@
-// Package lease lets one box of a failure domain hold a right for a while. The
-// lease is folded from the platform's log: the first to take it when it is free
-// holds it, and the offset of that record is the fencing token of all that is
-// done under it.
+// Package lease implements leases that give one box of a failure domain an exclusive right for
+// a limited time. The state of a lease is computed by replaying a stream of the platform's
+// log: the first box to acquire a free lease holds it, and the offset of its record determines
+// the fencing token for everything done under the lease.
 package lease
 
 import (
@@ -15,12 +15,12 @@
 // ErrMalformed means that a record could not be decoded.
 var ErrMalformed = errors.New("malformed lease record")
 
-// Action is what a record does.
+// Action is the effect of a record.
 type Action string
 
-// Actions of a record.
+// Actions of records.
 const (
-	Take    Action = "take"
+	Acquire Action = "take"
 	Renew   Action = "renew"
 	Release Action = "release"
 )
@@ -30,19 +30,19 @@
 // Record is one entry of a lease's log stream.
 type Record struct {
 	Action Action `json:"action"`
-	// Holder names a box and its incarnation: a restarted box is another one.
+	// Holder identifies a box and its incarnation: a restarted box is a different holder.
 	Holder string `json:"holder"`
-	// SpanMs is how long the lease lasts from the record's time in the log.
+	// SpanMs is the duration of the lease, counted from the record's timestamp in the log.
 	SpanMs clock.Millis `json:"span_ms"`
-	// AskedMs is the holder's own time before it appended the record. The holder
-	// counts its lease from there: the log took the record no earlier.
-	AskedMs clock.Millis `json:"asked_ms"`
+	// RequestedMs is the holder's own time before it appended the record. The holder counts its
+	// lease from this time, which is never later than the log's acceptance of the record.
+	RequestedMs clock.Millis `json:"asked_ms"`
 }
 
-// maxSpanMs bounds how long a holder that died blocks others.
+// maxSpanMs bounds how long a crashed holder blocks others.
 const maxSpanMs = 5 * 60 * clock.Second
 
-// UnmarshalJSON decodes and checks a record.
+// UnmarshalJSON decodes and validates a record.
 func (r *Record) UnmarshalJSON(data []byte) error {
 	type wire Record
 	decoded, err := codec.Decode[wire](data, ErrMalformed)
@@ -51,7 +51,7 @@
 	}
 	*r = Record(decoded)
 	switch {
-	case r.Action != Take && r.Action != Renew && r.Action != Release:
+	case r.Action != Acquire && r.Action != Renew && r.Action != Release:
 		return fmt.Errorf("%w: action: unknown", ErrMalformed)
 	case r.Holder == "" || len(r.Holder) > maxHolderBytes:
 		return fmt.Errorf("%w: holder: must have 1 to %d bytes", ErrMalformed, maxHolderBytes)
@@ -61,41 +61,38 @@
 	return nil
 }
 
-// State is a lease folded up to one offset. It is immutable; the zero value is a
-// lease that nobody ever held.
+// State is the state of a lease after replaying its stream up to one offset. It is immutable.
+// The zero value is a lease that was never held.
 type State struct {
 	holder  string
 	token   int64
 	untilMs clock.Millis
-	// previousMs is when the lease of another holder before this one ended, or
-	// would have ended.
-	previousMs clock.Millis
+	// previousEndMs is when the lease of the previous holder ended, or would have ended.
+	previousEndMs clock.Millis
 }
 
-// Apply folds the record at an offset, which the log took at an instant.
+// Apply returns the state after the record at an offset, which the log accepted at atMs.
 func (s State) Apply(offset int64, atMs clock.Millis, r Record) State {
-	mine := s.holder == r.Holder && atMs < s.untilMs
+	holds := s.holder == r.Holder && atMs < s.untilMs
 	switch {
-	case r.Action == Renew && mine:
+	case r.Action == Renew && holds:
 		s.untilMs = atMs + r.SpanMs
-	case r.Action == Release && mine:
+	case r.Action == Release && holds:
 		s.untilMs = atMs
-	case r.Action == Take && atMs >= s.untilMs:
-		return State{holder: r.Holder, token: offset + 1, untilMs: atMs + r.SpanMs, previousMs: s.untilMs}
+	case r.Action == Acquire && atMs >= s.untilMs:
+		return State{holder: r.Holder, token: offset + 1, untilMs: atMs + r.SpanMs, previousEndMs: s.untilMs}
 	}
 	return s
 }
 
-// Holder returns who took the lease last.
+// Holder returns the box that acquired the lease last.
 func (s State) Holder() string { return s.holder }
 
-// Token returns the fencing token of the newest holder; a later holder's is
-// higher.
+// Token returns the fencing token of the newest holder. Tokens increase with each new holder.
 func (s State) Token() int64 { return s.token }
 
-// UntilMs returns the end of the lease, in the log's time.
+// UntilMs returns the end of the lease in the log's time.
 func (s State) UntilMs() clock.Millis { return s.untilMs }
 
-// PreviousMs returns the end of the lease before this holder's, in the log's
-// time.
-func (s State) PreviousMs() clock.Millis { return s.previousMs }
+// PreviousMs returns the end of the previous holder's lease in the log's time.
+func (s State) PreviousMs() clock.Millis { return s.previousEndMs }
