--- a/internal/claim/registry.go
+++ b/internal/claim/stream.go
@@ -38,8 +38,7 @@
 	usedMs      clock.Millis
 }
 
-// NewStream returns a stream. It reads and appends nothing until Run is
-// called.
+// NewStream returns a stream. It reads and appends nothing until Run is called.
 func NewStream(name string, log logstream.Log, settings Settings, c clock.Clock, logger *zap.Logger) *Stream {
 	return &Stream{
 		name: name, log: log, settings: settings, clock: c, logger: logger,
