--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -1,5 +1,5 @@
-// Package box wires one router process: its listeners, the steps of a request,
-// and the box's part of control.
+// Package box assembles one router process: its listeners, its request pipeline and its
+// control loops.
 package box
 
 import (
@@ -39,7 +39,7 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// ErrKilled is what Run returns after Kill.
+// ErrKilled is returned by Run after Kill.
 var ErrKilled = errors.New("killed")
 
 // Box is one router process. Build it with New, then call Run once.
@@ -67,25 +67,25 @@
 	follower      *logstream.Follower
 	callers       *callers.Handler
 
-	boxList     backing.BoxList
-	peers       peers.Client
-	snapshotted atomic.Int64
-	socket      *datagram.Socket
-	gossip      *membership.Gossip
-	agent       *grant.Agent
-	picker      *picker.Picker
-	lease       *lease.Keeper
-	weights     backing.WeightStore
-	engineHTTP  *http.Client
-	fleet       *fleetView
-
-	servers  servers
-	draining atomic.Bool
-	drain    chan struct{}
-	drainOne sync.Once
-	killed   chan struct{}
-	killOne  sync.Once
-	running  sync.WaitGroup
+	boxList            backing.BoxList
+	peers              peers.Client
+	lastSnapshotOffset atomic.Int64
+	socket             *datagram.Socket
+	gossip             *membership.Gossip
+	agent              *grant.Agent
+	picker             *picker.Picker
+	lease              *lease.Keeper
+	weights            backing.WeightStore
+	engineHTTP         *http.Client
+	fleet              *fleetView
+
+	servers   servers
+	draining  atomic.Bool
+	drain     chan struct{}
+	drainOnce sync.Once
+	killed    chan struct{}
+	killOnce  sync.Once
+	running   sync.WaitGroup
 }
 
 type keys struct {
@@ -97,7 +97,7 @@
 	callers, peers, operators *server.Server
 }
 
-// Option changes a Box under construction.
+// Option configures a Box.
 type Option func(*Box)
 
 // WithClock replaces the system clock.
@@ -106,19 +106,19 @@
 // WithLogger sets the logger.
 func WithLogger(logger *zap.Logger) Option { return func(b *Box) { b.logger = logger } }
 
-// WithListen replaces the opening of listeners.
+// WithListen replaces the function that opens listeners.
 func WithListen(listen server.Listen) Option { return func(b *Box) { b.listen = listen } }
 
-// WithListenPackets replaces the opening of the UDP socket.
+// WithListenPackets replaces the function that opens the UDP socket.
 func WithListenPackets(packets ListenPackets) Option { return func(b *Box) { b.packets = packets } }
 
-// WithDial replaces the opening of connections.
+// WithDial replaces the function that opens connections.
 func WithDial(dial transport.Dial) Option { return func(b *Box) { b.dial = dial } }
 
-// WithSpans sets where the stdout exporter writes spans.
+// WithSpans sets the writer of the stdout trace exporter.
 func WithSpans(w io.Writer) Option { return func(b *Box) { b.spans = w } }
 
-// New opens the listeners and builds the box. Nothing is answered until Run.
+// New opens the listeners and builds the box. No request is served before Run.
 func New(ctx context.Context, settings config.Router, options ...Option) (*Box, error) {
 	b := &Box{
 		settings: settings, clock: clock.New(), logger: zap.NewNop(), listen: net.Listen, packets: net.ListenPacket,
@@ -139,12 +139,12 @@
 
 func (b *Box) serve(x *exchange.Exchange) { b.pipeline.Serve(x) }
 
-// Addresses are the addresses that a box's listeners got.
+// Addresses holds the addresses that a box's listeners are bound to.
 type Addresses struct {
 	Callers, Peers, Operators, Gossip string
 }
 
-// Addresses returns where the box listens.
+// Addresses returns the addresses that the box listens on.
 func (b *Box) Addresses() Addresses {
 	return Addresses{
 		Callers:   b.servers.callers.Address(),
@@ -154,37 +154,36 @@
 	}
 }
 
-// Metrics returns the box's counters.
+// Metrics returns the box's metrics.
 func (b *Box) Metrics() *metrics.Metrics { return b.metrics }
 
-// Store returns the box's table.
+// Store returns the box's table store.
 func (b *Box) Store() *tablestore.Store { return b.store }
 
-// Ready reports whether the box takes new requests: it has a table and is not
-// about to stop.
+// Ready reports whether the box accepts new requests: it has a table and is not draining.
 func (b *Box) Ready() bool { return b.store.State().Offset() > 0 && !b.draining.Load() }
 
-func (b *Box) all() []*server.Server {
+func (b *Box) allServers() []*server.Server {
 	return []*server.Server{b.servers.callers, b.servers.peers, b.servers.operators}
 }
 
 func (b *Box) closeListeners() {
-	for _, s := range b.all() {
+	for _, s := range b.allServers() {
 		if s != nil {
 			s.Close()
 		}
 	}
 }
 
-// Run answers requests until the context ends or Drain was called, and then
-// stops as planned: running requests finish first. A listener that fails ends
-// it with an error.
+// Run serves requests until the context ends or Drain is called, and then shuts down
+// gracefully: running requests finish first. If a listener fails, Run shuts down as well and
+// returns the error.
 func (b *Box) Run(ctx context.Context) error {
 	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopBackground()
 	b.startBackground(background)
-	failed := make(chan error, len(b.all()))
-	for _, s := range b.all() {
+	failed := make(chan error, len(b.allServers()))
+	for _, s := range b.allServers() {
 		b.running.Go(func() {
 			if err := s.Serve(); err != nil {
 				failed <- err
@@ -193,7 +192,7 @@
 	}
 	b.logger.Info("box started", zap.String("box", b.settings.Box),
 		zap.String("failure_domain", b.settings.FailureDomain), zap.Any("addresses", b.Addresses()))
-	err := b.untilStop(ctx, failed)
+	err := b.waitForStop(ctx, failed)
 	if !errors.Is(err, ErrKilled) {
 		err = errors.Join(err, b.stop(background))
 	}
@@ -202,7 +201,7 @@
 	return errors.Join(err, b.flushTraces(context.WithoutCancel(ctx)))
 }
 
-func (b *Box) untilStop(ctx context.Context, failed <-chan error) error {
+func (b *Box) waitForStop(ctx context.Context, failed <-chan error) error {
 	select {
 	case <-ctx.Done():
 		return nil
@@ -223,10 +222,10 @@
 	b.running.Go(func() { b.socket.Run(ctx) })
 	b.running.Go(func() { b.gossip.Run(ctx) })
 	b.running.Go(func() { b.pollLists(ctx) })
-	b.running.Go(func() { b.sumsLoop(ctx) })
+	b.running.Go(func() { b.domainSumsLoop(ctx) })
 	b.running.Go(func() { b.lease.Run(ctx) })
-	b.running.Go(func() { b.watchEngines(ctx) })
-	b.running.Go(func() { b.giveOrders(ctx) })
+	b.running.Go(func() { b.pollEngines(ctx) })
+	b.running.Go(func() { b.sendOrders(ctx) })
 	b.running.Go(func() {
 		b.clock.Every(ctx, clock.Second, func(clock.Millis) {
 			b.updateDemand()
@@ -239,9 +238,9 @@
 	})
 }
 
-// Kill ends the box at once, as a crash would: connections break and nothing is
+// Kill terminates the box at once, as a crash would: connections break and no claim is
 // settled. Run returns ErrKilled.
 func (b *Box) Kill() {
-	b.killOne.Do(func() { close(b.killed) })
+	b.killOnce.Do(func() { close(b.killed) })
 	b.closeListeners()
 }
--- a/internal/box/build.go
+++ b/internal/box/build.go
@@ -45,24 +45,25 @@
 	return err
 }
 
-// peerTLS is what this box asks of its peers' certificates.
+// peerTLS returns the TLS configuration for connections to peers.
 func peerTLS(settings config.TLS) (*tls.Config, error) {
-	answer := &tls.Config{MinVersion: tls.VersionTLS12}
+	tlsConfig := &tls.Config{MinVersion: tls.VersionTLS12}
 	if settings.CAFile == "" {
-		return answer, nil
+		return tlsConfig, nil
 	}
 	data, err := os.ReadFile(settings.CAFile)
 	if err != nil {
 		return nil, fmt.Errorf("%w: peers.tls.ca_file: %w", config.ErrInvalid, err)
 	}
-	answer.RootCAs = x509.NewCertPool()
-	if !answer.RootCAs.AppendCertsFromPEM(data) {
-		return nil, fmt.Errorf("%w: peers.tls.ca_file: holds no certificate", config.ErrInvalid)
+	tlsConfig.RootCAs = x509.NewCertPool()
+	if !tlsConfig.RootCAs.AppendCertsFromPEM(data) {
+		return nil, fmt.Errorf("%w: peers.tls.ca_file: contains no certificate", config.ErrInvalid)
 	}
-	return answer, nil
+	return tlsConfig, nil
 }
 
-// peerScheme is how peers are reached: all boxes of a fleet do it alike.
+// peerScheme returns the URL scheme for connections to peers. It is the same for all boxes of
+// a fleet.
 func (b *Box) peerScheme() string {
 	if b.settings.Peers.TLS.Enabled() {
 		return "https"
@@ -76,12 +77,12 @@
 	return err
 }
 
-// defaultPlatformTimeoutMs bounds calls to the platform, on top of waits that are
-// asked for.
+// defaultPlatformTimeoutMs bounds calls to the platform, in addition to the wait time that a
+// call requests.
 const defaultPlatformTimeoutMs = 3000
 
-// buildState builds what the steps share: the table, the pools, the limits and
-// the claims.
+// buildState builds the state shared by the pipeline steps: the table, the limits and the
+// clients for the platform and for peers.
 func (b *Box) buildState(context.Context) error {
 	config.Fill(&b.settings.Platform.TimeoutMs, defaultPlatformTimeoutMs)
 	client := b.controlClient(func() string { return "" })
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// controlClient makes the HTTP client for the platform or for peers.
+// controlClient returns an HTTP client for the platform or for peers.
 func (b *Box) controlClient(key func() string) *http.Client {
 	return transport.Control(transport.Settings{
 		ConnectTimeoutMs: clock.Millis(b.settings.Platform.TimeoutMs),
@@ -110,7 +111,7 @@
 	}, key, b.metrics.PeerSent, b.metrics.PeerReceived)
 }
 
-// append bounds one append by the platform's timeout.
+// append appends records to the log, bounded by the platform timeout.
 func (b *Box) append(ctx context.Context, stream string, records ...jsonRecord) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Millis(b.settings.Platform.TimeoutMs).Duration())
 	defer cancel()
@@ -135,7 +136,7 @@
 		}, b.metrics, b.clock.Now),
 		Settle: settle.New(b.metrics, b.logger, b.clock.Now),
 	}
-	steps.Route = routepipe.New(b.acquire, b.remote)
+	steps.Route = routepipe.New(b.acquire, b.acquireRemote)
 	steps.Route.Default(&b.settings)
 	poolSettings, err := routepipe.PoolSettings(b.settings.Route)
 	if err != nil {
@@ -152,7 +153,7 @@
 	upstreams.RoundTripper = b.upstreamTransport()
 	b.claims = claim.NewService(logstream.Log{Append: b.append, Read: b.readLog}, claim.Settings{
 		BatchMs: clock.Millis(b.settings.Claim.BatchMs), WindowMs: clock.Millis(b.settings.Claim.WindowMs),
-	}, b.remoteClaim, b.clock, b.logger)
+	}, b.forwardClaim, b.clock, b.logger)
 	b.store.OnChange(func(state *table.State) {
 		b.pools.SetTable(state)
 		b.admit.Poke()
@@ -160,8 +161,8 @@
 	return nil
 }
 
-// deferredTransport is filled in once the steps have set the defaults that the
-// transport is built from.
+// deferredTransport is set after the pipeline steps have applied the defaults from which the
+// transport is built.
 type deferredTransport struct{ http.RoundTripper }
 
 const maxIdlePerUpstream = 256
--- a/internal/box/claims.go
+++ b/internal/box/claims.go
@@ -10,21 +10,21 @@
 	"dooryard.example/dooryard/internal/route"
 )
 
-// gatherTimeoutMs is how long a box waits for the one that gathers a shard's
-// records, on top of which it claims by itself. Settle and release records need
-// no verdict.
-const gatherTimeoutMs = 1500 * clock.Millis(1)
+// forwardTimeoutMs is how long a box waits for a shard's coordinator before it claims by
+// itself. Settle and release records need no verdict.
+const forwardTimeoutMs = 1500 * clock.Millis(1)
 
-// gatherer returns the box that gathers a shard's records: the first in rank
-// among the live boxes of this failure domain and those known of others. Boxes
-// whose views differ pick different ones, which costs appends and no promise.
-func (b *Box) gatherer(shard int) (address string, remote bool) {
+// shardCoordinator returns the box that batches a shard's appends: the highest-ranked one
+// among the live boxes of this failure domain and the known boxes of others. Boxes with
+// different views pick different coordinators, which costs additional appends but does not
+// affect correctness.
+func (b *Box) shardCoordinator(shard int) (address string, remote bool) {
 	type candidate struct{ name, address string }
 	candidates := []candidate{}
 	for _, name := range b.gossip.Live() {
 		candidates = append(candidates, candidate{name: name, address: b.peerAddress(name)})
 	}
-	for _, listed := range b.listedElsewhere() {
+	for _, listed := range b.remoteBoxes() {
 		candidates = append(candidates, candidate{name: listed.Name, address: listed.PeerAddress})
 	}
 	hashes := make([]uint64, len(candidates))
@@ -38,17 +38,17 @@
 	return first.address, first.name != b.settings.Box && first.address != ""
 }
 
-// remoteClaim hands a record to the box that gathers its shard.
-func (b *Box) remoteClaim(ctx context.Context, shard int, record claim.Record) (claim.Verdict, bool) {
-	address, remote := b.gatherer(shard)
+// forwardClaim sends a record to its shard's coordinator.
+func (b *Box) forwardClaim(ctx context.Context, shard int, record claim.Record) (claim.Verdict, bool) {
+	address, remote := b.shardCoordinator(shard)
 	if !remote {
 		return claim.Verdict{}, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, gatherTimeoutMs.Duration())
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeoutMs.Duration())
 	defer cancel()
 	verdict, err := b.peers.Claim(ctx, address, record)
 	if err != nil {
-		b.logger.Debug("claim not gathered", zap.String("peer", address), zap.Error(err))
+		b.logger.Debug("forwarding claim to shard coordinator failed", zap.String("peer", address), zap.Error(err))
 		return claim.Verdict{}, false
 	}
 	return verdict, true
--- a/internal/box/demand.go
+++ b/internal/box/demand.go
@@ -11,24 +11,25 @@
 	"dooryard.example/dooryard/internal/membership"
 )
 
-// Times of the exchange of demand.
+// Parameters of the demand exchange.
 const (
-	// demandSmoothing is the part of an old estimate that stays each period.
+	// demandSmoothing is the weight of the previous estimate in each period.
 	demandSmoothing = 0.5
-	// forgetDemand is the rate below which an organisation is not heavy.
-	forgetDemand = 0.05
-	// toldDemand is how many organisations a box tells of; the wire bounds it.
-	toldDemand = 8
+	// minDemandRate is the rate below which an organisation is dropped from the estimates.
+	minDemandRate = 0.05
+	// maxGossipDemands is the maximum number of organisations whose demand a box publishes; the
+	// wire format bounds it.
+	maxGossipDemands = 8
 )
 
-// updateDemand turns the counts of a period into smoothed rates.
+// updateDemand updates the smoothed request rates from the counts of a period.
 func (b *Box) updateDemand() {
 	counts := b.organisations.Demand()
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	for name, rate := range b.fleet.demand {
 		b.fleet.demand[name] = rate * demandSmoothing
-		if rate < forgetDemand {
+		if rate < minDemandRate {
 			delete(b.fleet.demand, name)
 		}
 	}
@@ -39,38 +40,39 @@
 	}
 }
 
-// limited reports whether an organisation has a limit that boxes share. Others
-// need no exchange.
+// limited reports whether an organisation has a limit that boxes share. Demand is exchanged
+// only for such organisations.
 func (b *Box) limited(name string) bool {
 	row := b.store.State().Organisation(name)
 	return row != nil && (row.RatePerS > 0 || row.MaxInFlight > 0)
 }
 
-// demandUnit is how the wire counts rates: in hundredths a second.
-const demandUnit = 100
+// demandScale converts rates to the wire format, which uses hundredths of a request per
+// second.
+const demandScale = 100
 
-// heaviestDemand is what this box tells of its heaviest organisations.
-func (b *Box) heaviestDemand() []membership.Demand {
+// topLocalDemand returns the demand of this box's organisations with the highest rates.
+func (b *Box) topLocalDemand() []membership.Demand {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	demand := make([]membership.Demand, 0, len(b.fleet.demand))
 	for name, rate := range b.fleet.demand {
 		demand = append(demand, membership.Demand{
-			Organisation: membership.OrganisationID(name), PerSecond: uint32(rate * demandUnit),
+			Organisation: membership.OrganisationID(name), PerSecond: uint32(rate * demandScale),
 		})
 	}
-	return heaviest(demand)
+	return topDemand(demand)
 }
 
-func heaviest(demand []membership.Demand) []membership.Demand {
+func topDemand(demand []membership.Demand) []membership.Demand {
 	slices.SortFunc(demand, func(x, y membership.Demand) int {
 		return cmp.Or(cmp.Compare(y.PerSecond, x.PerSecond), cmp.Compare(x.Organisation, y.Organisation))
 	})
-	return demand[:min(toldDemand, len(demand))]
+	return demand[:min(maxGossipDemands, len(demand))]
 }
 
-// share is this box's part of an organisation's fleet-wide limits, as of the last
-// period; the even part for one that it has not seen lately.
+// share returns this box's share of an organisation's fleet-wide limits as of the last period.
+// An organisation without recent requests gets the even share.
 func (b *Box) share(name string) float64 {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
@@ -80,17 +82,17 @@
 	return b.fleet.evenShare
 }
 
-// updateShares works out this box's part of the limits of the organisations that
-// it sees.
+// updateShares computes this box's share of the limits of each organisation with recent
+// requests.
 func (b *Box) updateShares() {
-	base, sources := b.heardDemand()
+	base, sources := b.fleetDemand()
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	b.fleet.evenShare = limit.Demand{Boxes: base.Boxes}.Part()
 	clear(b.fleet.shares)
 	for name, rate := range b.fleet.demand {
 		demand := base
-		demand.Own = rate * demandUnit
+		demand.Own = rate * demandScale
 		id := membership.OrganisationID(name)
 		for _, facts := range sources {
 			demand.Others += float64(demandOf(facts, id))
@@ -99,8 +101,8 @@
 	}
 }
 
-// updateSlots works out this box's part of the engines' slots from how much the
-// boxes of this failure domain run and keep waiting.
+// updateSlots computes this box's share of the engines' slots from the running and waiting
+// requests of the boxes in this failure domain.
 func (b *Box) updateSlots() {
 	running, waiting := b.admit.Lengths()
 	slots := limit.Slots{Own: float64(running + waiting), Boxes: len(b.gossip.Live())}
@@ -111,20 +113,20 @@
 	b.pools.SetSlots(slots)
 }
 
-// heardDemand counts the boxes that share limits and returns what was heard from
-// them: each box of this domain by itself, other domains in sum.
-func (b *Box) heardDemand() (base limit.Demand, sources []membership.Facts) {
+// fleetDemand counts the boxes that share limits, and returns the facts received from them:
+// one entry for each box of this failure domain, and one sum for each other domain.
+func (b *Box) fleetDemand() (base limit.Demand, sources []membership.Facts) {
 	base.Boxes = 1
 	for _, facts := range b.gossip.FactsOf() {
 		base.Boxes++
 		base.Heard++
 		sources = append(sources, facts)
 	}
-	sums := b.gossip.DomainFacts(domainFactsMs)
+	sums := b.gossip.DomainFacts(domainFactsTTLMs)
 	for _, domain := range b.otherDomains() {
 		facts, found := sums[membership.NewID(domain)]
 		if !found {
-			base.Boxes += b.listedIn(domain)
+			base.Boxes += b.listedBoxCount(domain)
 			continue
 		}
 		base.Boxes += int(facts.Boxes)
@@ -134,8 +136,8 @@
 	return base, sources
 }
 
-// listedIn is how many boxes the platform's list last showed in a domain.
-func (b *Box) listedIn(domain string) int {
+// listedBoxCount returns the number of boxes of a failure domain on the platform's last list.
+func (b *Box) listedBoxCount(domain string) int {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	return len(b.fleet.lists[domain].Boxes)
@@ -150,31 +152,31 @@
 	return 0
 }
 
-// sumsLoop tells the other failure domains the sums of this one. The boxes take
-// turns, so that each spends little on it.
-func (b *Box) sumsLoop(ctx context.Context) {
-	b.clock.Every(ctx, sumsMs, func(now clock.Millis) {
+// domainSumsLoop sends the sums of this failure domain to the other ones. The boxes rotate
+// through this task to spread its cost.
+func (b *Box) domainSumsLoop(ctx context.Context) {
+	b.clock.Every(ctx, domainSumsIntervalMs, func(now clock.Millis) {
 		live := b.gossip.Live()
-		if len(live) == 0 || live[int(now/sumsMs)%len(live)] != b.settings.Box {
+		if len(live) == 0 || live[int(now/domainSumsIntervalMs)%len(live)] != b.settings.Box {
 			return
 		}
 		sums := b.domainSums()
-		told := map[string]int{}
-		elsewhere := b.listedElsewhere()
-		rand.Shuffle(len(elsewhere), func(i, j int) { elsewhere[i], elsewhere[j] = elsewhere[j], elsewhere[i] })
-		for _, listed := range elsewhere {
-			if told[listed.FailureDomain] < sumsFanout {
-				told[listed.FailureDomain]++
+		sent := map[string]int{}
+		remotes := b.remoteBoxes()
+		rand.Shuffle(len(remotes), func(i, j int) { remotes[i], remotes[j] = remotes[j], remotes[i] })
+		for _, listed := range remotes {
+			if sent[listed.FailureDomain] < sumsFanout {
+				sent[listed.FailureDomain]++
 				b.gossip.TellSums(listed.GossipAddress, membership.NewID(b.settings.FailureDomain), sums)
 			}
 		}
 	})
 }
 
-// sumsFanout is how many boxes of another domain hear the sums directly.
+// sumsFanout is the number of boxes of another failure domain that receive the sums directly.
 const sumsFanout = 2
 
-// domainSums adds up what the boxes of this domain tell.
+// domainSums returns the sums of the facts published by the boxes of this failure domain.
 func (b *Box) domainSums() membership.Facts {
 	sums := b.facts()
 	sums.Boxes = 1
@@ -185,7 +187,7 @@
 	for _, facts := range b.gossip.FactsOf() {
 		sums.Boxes++
 		sums.InFlight += facts.InFlight
-		// The furthest: other domains learn from it that they are behind.
+		// The maximum lets other failure domains detect that they are behind.
 		sums.TableOffset = max(sums.TableOffset, facts.TableOffset)
 		for _, demand := range facts.Demand {
 			rates[demand.Organisation] += demand.PerSecond
@@ -195,6 +197,6 @@
 	for organisation, rate := range rates {
 		sums.Demand = append(sums.Demand, membership.Demand{Organisation: organisation, PerSecond: rate})
 	}
-	sums.Demand = heaviest(sums.Demand)
+	sums.Demand = topDemand(sums.Demand)
 	return sums
 }
--- a/internal/box/engines.go
+++ b/internal/box/engines.go
@@ -20,49 +20,50 @@
 	"dooryard.example/dooryard/internal/transport"
 )
 
-// Times of looking after engines.
+// Intervals and timeouts of engine management.
 const (
-	// engineReportMs is how often an owner asks its engines for their state: a
-	// leaving one is known everywhere within this and one question.
-	engineReportMs  = 2 * clock.Second
-	engineTimeoutMs = 1 * clock.Second
-	ordersMs        = 2 * clock.Second
+	// enginePollIntervalMs is how often an owner polls its engines for their state. A draining
+	// engine is known everywhere within this interval plus one request.
+	enginePollIntervalMs = 2 * clock.Second
+	engineTimeoutMs      = 1 * clock.Second
+	orderIntervalMs      = 2 * clock.Second
 )
 
-// leaseStream is the log stream of a failure domain's right to give orders.
+// leaseStream returns the name of the log stream that holds a failure domain's lease to send
+// orders.
 func leaseStream(domain string) string { return "orders-" + domain }
 
 func (b *Box) buildLease(context.Context) error {
 	holder := fmt.Sprintf("%s@%d", b.settings.Box, b.clock.Now())
 	b.lease = lease.NewKeeper(leaseStream(b.settings.FailureDomain), holder,
-		logstream.Log{Append: b.append, Read: b.readLog}, b.wantsOrders, b.clock, b.logger)
+		logstream.Log{Append: b.append, Read: b.readLog}, b.shouldSendOrders, b.clock, b.logger)
 	return nil
 }
 
-// wantsOrders reports whether this box should give the orders of its failure
-// domain: the first live box by name does, so that boxes don't race.
-func (b *Box) wantsOrders() bool {
+// shouldSendOrders reports whether this box should send the orders of its failure domain. Only
+// the first live box by name does, so that boxes don't compete for the lease.
+func (b *Box) shouldSendOrders() bool {
 	live := b.gossip.Live()
 	return len(live) > 0 && live[0] == b.settings.Box && !b.draining.Load()
 }
 
-// watchEngines asks the engines that this box owns for their load, their models
-// and whether they leave.
-func (b *Box) watchEngines(ctx context.Context) {
-	b.clock.Every(ctx, engineReportMs, func(clock.Millis) {
+// pollEngines polls the engines that this box owns for their load, their models and whether
+// they are draining.
+func (b *Box) pollEngines(ctx context.Context) {
+	b.clock.Every(ctx, enginePollIntervalMs, func(clock.Millis) {
 		for _, row := range b.pools.Owned() {
-			b.watchEngine(ctx, row)
+			b.pollEngine(ctx, row)
 		}
 		b.admit.Poke()
 	})
 }
 
-func (b *Box) watchEngine(ctx context.Context, row *table.Upstream) {
+func (b *Box) pollEngine(ctx context.Context, row *table.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeoutMs.Duration())
 	defer cancel()
 	load, err := b.engineClient(row).Load(ctx)
 	if err != nil {
-		b.logger.Debug("no load report", zap.String("upstream", row.Name), zap.Error(err))
+		b.logger.Debug("polling engine load failed", zap.String("upstream", row.Name), zap.Error(err))
 		return
 	}
 	b.pools.Report(row.Name, load.InFlight)
@@ -73,11 +74,11 @@
 	return engine.Client{URL: "http://" + row.Address, Client: b.engineHTTP}
 }
 
-// giveOrders brings the engines' models in line with the table, one order at a
-// time for each engine, while this box holds the lease.
-func (b *Box) giveOrders(ctx context.Context) {
+// sendOrders reconciles the engines' models with the table while this box holds the lease. It
+// sends each engine one order at a time.
+func (b *Box) sendOrders(ctx context.Context) {
 	due := newOrderQueue()
-	b.clock.Every(ctx, ordersMs, func(clock.Millis) {
+	b.clock.Every(ctx, orderIntervalMs, func(clock.Millis) {
 		engines := slices.DeleteFunc(slices.Clone(b.store.State().Upstreams()), func(row *table.Upstream) bool {
 			return row.Kind != table.KindEngine || row.FailureDomain != b.settings.FailureDomain
 		})
@@ -90,42 +91,42 @@
 			if !holds {
 				return
 			}
-			due.settle(row, b.orderEngine(ctx, row, held))
+			due.update(row, b.sendNextOrder(ctx, row, held))
 		}
 	})
 }
 
-// orderQueue is which engines to look at: those whose row changed or whose
-// models are not yet as the table says, and one other in turn, so that looking
-// costs little however many there are.
+// orderQueue selects the engines to check: those whose row has changed or whose models do not
+// match the table yet, and one other engine per round. This keeps the cost of checking low
+// regardless of the number of engines.
 type orderQueue struct {
-	settled map[string]*table.Upstream
-	turn    int
+	converged map[string]*table.Upstream
+	round     int
 }
 
-func newOrderQueue() *orderQueue { return &orderQueue{settled: map[string]*table.Upstream{}} }
+func newOrderQueue() *orderQueue { return &orderQueue{converged: map[string]*table.Upstream{}} }
 
 func (q *orderQueue) next(engines []*table.Upstream) []*table.Upstream {
 	due := []*table.Upstream{}
 	for i, row := range engines {
-		if q.settled[row.Name] != row || i == q.turn%len(engines) {
+		if q.converged[row.Name] != row || i == q.round%len(engines) {
 			due = append(due, row)
 		}
 	}
-	q.turn++
+	q.round++
 	return due
 }
 
-func (q *orderQueue) settle(row *table.Upstream, done bool) {
-	delete(q.settled, row.Name)
-	if done {
-		q.settled[row.Name] = row
+func (q *orderQueue) update(row *table.Upstream, converged bool) {
+	delete(q.converged, row.Name)
+	if converged {
+		q.converged[row.Name] = row
 	}
 }
 
-// orderEngine gives an engine its next order, if any. It returns true when the
-// engine's models are as the table says.
-func (b *Box) orderEngine(ctx context.Context, row *table.Upstream, held lease.Held) bool {
+// sendNextOrder sends an engine its next order, if any. It reports whether the engine's models
+// match the table.
+func (b *Box) sendNextOrder(ctx context.Context, row *table.Upstream, held lease.Held) bool {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeoutMs.Duration())
 	defer cancel()
 	client := b.engineClient(row)
@@ -139,25 +140,26 @@
 	if !needed {
 		return placement.Settled(row, state)
 	}
-	if order.Action == engine.ActionLoad && !b.mayLoad(ctx, order.Model) {
+	if order.Action == engine.ActionLoad && !b.reserveLoad(ctx, order.Model) {
 		return false
 	}
 	order.ID = ulid.Make().String()
-	// The last look at the clock is the connection's, right before it writes: a
-	// holder that was paused sends nothing under a lease that has ended.
+	// The connection checks the clock once more right before it writes, so that a holder that
+	// was paused sends nothing under an expired lease.
 	err = client.Order(transport.SendBefore(ctx, b.clock, held.UntilMs), order)
 	b.countOrder(row, order, err)
 	return false
 }
 
-// mayLoad asks the weight store, which bounds how many loads run at once.
-func (b *Box) mayLoad(ctx context.Context, model string) bool {
+// reserveLoad reserves a load at the weight store, which limits the number of concurrent
+// loads.
+func (b *Box) reserveLoad(ctx context.Context, model string) bool {
 	if b.settings.Platform.WeightStoreURL == "" {
 		return true
 	}
 	err := b.weights.Reserve(ctx, model)
 	if err != nil && !errors.Is(err, backing.ErrThrottled) {
-		b.logger.Debug("weight store unavailable", zap.Error(err))
+		b.logger.Debug("reserving a load at the weight store failed", zap.Error(err))
 	}
 	return err == nil
 }
@@ -165,11 +167,11 @@
 func (b *Box) countOrder(row *table.Upstream, order engine.Order, err error) {
 	if err != nil {
 		b.metrics.OrdersRefused.Add(1)
-		b.logger.Warn("order not taken", zap.String("upstream", row.Name), zap.String("model", order.Model), zap.Error(err))
+		b.logger.Warn("order failed", zap.String("upstream", row.Name), zap.String("model", order.Model), zap.Error(err))
 		return
 	}
 	b.metrics.OrdersGiven.Add(1)
-	b.logger.Info("order given", zap.String("upstream", row.Name), zap.String("action", string(order.Action)),
+	b.logger.Info("order sent to engine", zap.String("upstream", row.Name), zap.String("action", string(order.Action)),
 		zap.String("model", order.Model), zap.Int64("token", order.Token))
 }
 
--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -25,35 +25,37 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// ListenPackets opens a UDP socket; tests replace it.
+// ListenPackets opens a UDP socket. Tests replace it.
 type ListenPackets func(network, address string) (net.PacketConn, error)
 
-// Times of this box's part in membership.
+// Intervals and timeouts of membership.
 const (
-	defaultPeriodMs = 300
-	listPollMs      = 2 * clock.Second
-	// otherDomainEvery is how many polls pass between two of other domains.
-	otherDomainEvery = 5
-	sumsMs           = clock.Second
-	domainFactsMs    = 20 * clock.Second
-	peerFailMs       = 5 * clock.Second
-	// foreignMs is how long a box of another domain counts after it was in touch.
-	foreignMs = 60 * clock.Second
+	defaultGossipPeriodMs = 300
+	listPollIntervalMs    = 2 * clock.Second
+	// pollsPerOtherDomain is the number of polls of this domain's list for each poll of another
+	// domain's list.
+	pollsPerOtherDomain  = 5
+	domainSumsIntervalMs = clock.Second
+	domainFactsTTLMs     = 20 * clock.Second
+	failedPeerBackoffMs  = 5 * clock.Second
+	// remoteContactTTLMs is how long a box of another failure domain is considered live after
+	// its last message.
+	remoteContactTTLMs = 60 * clock.Second
 )
 
-// fleetView is what this box knows of other boxes and of leaving upstreams. It
-// is safe for concurrent use.
+// fleetView is this box's knowledge of other boxes and of draining upstreams. Its fields are
+// protected by mu.
 type fleetView struct {
 	mu    sync.Mutex
 	lists map[string]backing.DatedList
-	// polls counts those at which another failure domain could be polled.
+	// polls counts the polls at which another failure domain could be polled.
 	polls  int
 	failed map[string]clock.Millis
-	// addresses are the live boxes of this domain by name.
-	addresses map[string]string
-	leaving   map[string]bool
-	demand    map[string]float64
-	// shares are this box's parts of fleet-wide limits, by organisation.
+	// addresses maps the live boxes of this failure domain to their gossip addresses.
+	addresses         map[string]string
+	drainingUpstreams map[string]bool
+	demand            map[string]float64
+	// shares maps organisations to this box's share of their fleet-wide limits.
 	shares    map[string]float64
 	evenShare float64
 }
@@ -61,14 +63,14 @@
 func newFleetView() *fleetView {
 	return &fleetView{
 		lists: map[string]backing.DatedList{}, failed: map[string]clock.Millis{},
-		leaving: map[string]bool{}, demand: map[string]float64{}, shares: map[string]float64{}, evenShare: 1,
+		drainingUpstreams: map[string]bool{}, demand: map[string]float64{}, shares: map[string]float64{}, evenShare: 1,
 	}
 }
 
-// openPeering opens the UDP socket on which the boxes of a failure domain tell
-// each other who lives and ask each other for slots.
+// openPeering opens the UDP socket that the boxes of a failure domain use for gossip and for
+// requesting slots from each other.
 func (b *Box) openPeering(context.Context) error {
-	config.Fill(&b.settings.Peers.PeriodMs, defaultPeriodMs)
+	config.Fill(&b.settings.Peers.PeriodMs, defaultGossipPeriodMs)
 	conn, err := b.packets("udp", b.settings.Peers.GossipAddress)
 	if err != nil {
 		return fmt.Errorf("peers.gossip_address: %w", err)
@@ -90,7 +92,7 @@
 	node := membership.NewNode(self, uint32(b.clock.Now()/clock.Second), membership.WithSettings(times))
 	b.gossip = membership.NewGossip(node, b.socket,
 		membership.WithClock(b.clock), membership.WithLogger(b.logger),
-		membership.WithOnChange(func([]string) { b.applyFleet() }), membership.WithFacts(b.facts))
+		membership.WithOnChange(func([]string) { b.applyMembership() }), membership.WithFacts(b.facts))
 	b.socket.Open(datagram.Channel{
 		Name: membership.ChannelName, CodeBytes: membership.CodeBytes, Handle: b.gossip.Receive,
 		Sent: b.metrics.GossipSent, Received: b.metrics.GossipReceived,
@@ -105,11 +107,11 @@
 		Name: grant.ChannelName, CodeBytes: grant.CodeBytes, Handle: b.agent.Receive,
 		Sent: b.metrics.GrantsSent, Received: b.metrics.GrantsReceived,
 	})
-	b.picker = picker.New(b.pools, b.agent, b.ownerNamed, b.clock.Now)
+	b.picker = picker.New(b.pools, b.agent, b.ownerByName, b.clock.Now)
 }
 
-// ownerNamed tells how to reach the box that owns a place.
-func (b *Box) ownerNamed(name string) grant.Owner {
+// ownerByName returns the name and address of the box that owns an upstream.
+func (b *Box) ownerByName(name string) grant.Owner {
 	if name == b.settings.Box || name == "" {
 		return grant.Owner{Name: name, Self: true}
 	}
@@ -128,20 +130,20 @@
 	})
 }
 
-// applyFleet hands the newest view of membership to the pools.
-func (b *Box) applyFleet() {
+// applyMembership passes the current membership view to the pools.
+func (b *Box) applyMembership() {
 	b.fleet.mu.Lock()
-	leaving := b.fleet.leaving
+	draining := b.fleet.drainingUpstreams
 	b.fleet.mu.Unlock()
-	b.learnMembers()
-	b.pools.SetFleet(pool.Fleet{Boxes: b.gossip.Live(), Leaving: leaving})
+	b.updateMembers()
+	b.pools.SetFleet(pool.Fleet{Boxes: b.gossip.Live(), Leaving: draining})
 	b.picker.Refresh()
 	b.admit.Poke()
 }
 
-// learnMembers keeps the addresses of the other boxes, and frees what boxes that
-// are gone held on engines.
-func (b *Box) learnMembers() {
+// updateMembers updates the addresses of the other boxes, and frees the engine slots held by
+// boxes that are no longer alive.
+func (b *Box) updateMembers() {
 	addresses := map[string]string{}
 	for _, member := range b.gossip.Members() {
 		if member.Status <= membership.Suspect {
@@ -155,24 +157,24 @@
 	b.fleet.addresses = addresses
 }
 
-// facts is what this box tells of itself.
+// facts returns the facts that this box publishes by gossip.
 func (b *Box) facts() membership.Facts {
 	running, waiting := b.admit.Lengths()
 	return membership.Facts{
 		TableOffset: b.store.State().Offset(),
 		InFlight:    uint32(running + waiting),
-		Demand:      b.heaviestDemand(),
+		Demand:      b.topLocalDemand(),
 	}
 }
 
-// pollLists follows the platform's list: this domain's each time, the others in
-// turn. While the platform is cut off the last lists stay in force.
+// pollLists polls the platform's box lists: this domain's list at every poll, the lists of the
+// other domains in rotation. While the platform is unreachable, the last lists stay in use.
 func (b *Box) pollLists(ctx context.Context) {
 	if b.settings.Platform.BoxListURL == "" {
 		return
 	}
 	b.pollOnce(ctx)
-	b.clock.Every(ctx, listPollMs, func(clock.Millis) { b.pollOnce(ctx) })
+	b.clock.Every(ctx, listPollIntervalMs, func(clock.Millis) { b.pollOnce(ctx) })
 }
 
 func (b *Box) pollOnce(ctx context.Context) {
@@ -180,13 +182,13 @@
 	if domain, due := b.nextOtherDomain(); due {
 		b.pollList(ctx, domain)
 	}
-	b.applyList()
+	b.applyBoxList()
 }
 
-// nextOtherDomain tells which other failure domain's list is to be polled now, if any.
-// Polls count from the first one at which the table names another domain: counted from
-// the box's start, a box that could not read the table at once knew no box of another
-// domain for otherDomainEvery polls, 10 s.
+// nextOtherDomain returns the other failure domain whose list is due to be polled, if any.
+// Polls count from the first one at which the table contains another domain. If they counted
+// from the start of the box, a box that could not read the table at once would know no box of
+// another domain for pollsPerOtherDomain polls (10 s).
 func (b *Box) nextOtherDomain() (domain string, due bool) {
 	domains := b.otherDomains()
 	if len(domains) == 0 {
@@ -194,9 +196,9 @@
 	}
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
-	turn := b.fleet.polls
+	poll := b.fleet.polls
 	b.fleet.polls++
-	return domains[turn/otherDomainEvery%len(domains)], turn%otherDomainEvery == 0
+	return domains[poll/pollsPerOtherDomain%len(domains)], poll%pollsPerOtherDomain == 0
 }
 
 func (b *Box) pollList(ctx context.Context, domain string) {
@@ -207,7 +209,7 @@
 	b.fleet.mu.Unlock()
 	list, err := b.boxList.Get(ctx, domain, known)
 	if err != nil {
-		b.logger.Debug("list of boxes unavailable", zap.String("failure_domain", domain), zap.Error(err))
+		b.logger.Debug("reading box list failed", zap.String("failure_domain", domain), zap.Error(err))
 		return
 	}
 	b.fleet.mu.Lock()
@@ -215,8 +217,8 @@
 	b.fleet.mu.Unlock()
 }
 
-// applyList takes over what the list of this domain says.
-func (b *Box) applyList() {
+// applyBoxList applies the list of this failure domain.
+func (b *Box) applyBoxList() {
 	b.fleet.mu.Lock()
 	list := b.fleet.lists[b.settings.FailureDomain]
 	addresses := map[string]string{}
@@ -225,25 +227,25 @@
 			addresses[listed.Name] = listed.GossipAddress
 		}
 	}
-	leaving := map[string]bool{}
+	draining := map[string]bool{}
 	for _, listed := range list.Upstreams {
 		if listed.State == backing.BoxLeaving {
-			leaving[listed.Name] = true
+			draining[listed.Name] = true
 		}
 	}
-	changed := len(leaving) != len(b.fleet.leaving)
-	for name := range leaving {
-		changed = changed || !b.fleet.leaving[name]
+	changed := len(draining) != len(b.fleet.drainingUpstreams)
+	for name := range draining {
+		changed = changed || !b.fleet.drainingUpstreams[name]
 	}
-	b.fleet.leaving = leaving
+	b.fleet.drainingUpstreams = draining
 	b.fleet.mu.Unlock()
 	b.gossip.SetListed(addresses)
 	if changed {
-		b.applyFleet()
+		b.applyMembership()
 	}
 }
 
-// otherDomains are the failure domains that the table names, without this one.
+// otherDomains returns the failure domains in the table, without this box's own.
 func (b *Box) otherDomains() []string {
 	domains := []string{}
 	for _, upstream := range b.store.State().Upstreams() {
@@ -255,17 +257,17 @@
 	return slices.Compact(domains)
 }
 
-// listedElsewhere returns the live boxes of other failure domains that did not
-// fail lately: those of the platform's list, and those that were in touch.
-func (b *Box) listedElsewhere() []backing.ListedBox {
-	inTouch := b.gossip.Foreign(foreignMs)
+// remoteBoxes returns the live boxes of other failure domains that have not failed recently:
+// those on the platform's lists, and those that have been in contact by gossip.
+func (b *Box) remoteBoxes() []backing.ListedBox {
+	contacts := b.gossip.Foreign(remoteContactTTLMs)
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	byName := map[string]backing.ListedBox{}
-	for _, foreign := range inTouch {
-		byName[foreign.Name] = backing.ListedBox{
-			Name: foreign.Name, FailureDomain: foreign.Domain, State: backing.BoxLive,
-			GossipAddress: foreign.GossipAddress, PeerAddress: foreign.PeerAddress,
+	for _, contact := range contacts {
+		byName[contact.Name] = backing.ListedBox{
+			Name: contact.Name, FailureDomain: contact.Domain, State: backing.BoxLive,
+			GossipAddress: contact.GossipAddress, PeerAddress: contact.PeerAddress,
 		}
 	}
 	for domain, list := range b.fleet.lists {
@@ -275,15 +277,16 @@
 			}
 		}
 	}
-	return b.usableElsewhere(byName)
+	return b.usableRemoteBoxes(byName)
 }
 
-// usableElsewhere drops boxes that stop or failed lately, and sorts the others.
-func (b *Box) usableElsewhere(byName map[string]backing.ListedBox) []backing.ListedBox {
+// usableRemoteBoxes drops boxes that are draining or failed recently, and sorts the rest by
+// name.
+func (b *Box) usableRemoteBoxes(byName map[string]backing.ListedBox) []backing.ListedBox {
 	found := []backing.ListedBox{}
 	for _, listed := range byName {
 		usable := listed.State == backing.BoxLive && listed.PeerAddress != ""
-		if usable && b.clock.Now()-b.fleet.failed[listed.Name] > peerFailMs {
+		if usable && b.clock.Now()-b.fleet.failed[listed.Name] > failedPeerBackoffMs {
 			found = append(found, listed)
 		}
 	}
@@ -297,11 +300,11 @@
 	b.fleet.failed[name] = b.clock.Now()
 }
 
-// remote picks a box of another failure domain that serves what a request asks
-// for. A session goes to the same one each time, where it is warm.
-func (b *Box) remote(x *exchange.Exchange, tried pool.Tried) (*pool.Lease, bool) {
+// acquireRemote picks a box of another failure domain that serves the request's target.
+// Requests of a session go to the same box, whose caches are warm.
+func (b *Box) acquireRemote(x *exchange.Exchange, tried pool.Tried) (*pool.Lease, bool) {
 	serving := domainsServing(x)
-	candidates := slices.DeleteFunc(b.listedElsewhere(), func(listed backing.ListedBox) bool {
+	candidates := slices.DeleteFunc(b.remoteBoxes(), func(listed backing.ListedBox) bool {
 		return !serving[listed.FailureDomain] || slices.Contains(tried, listed.Name)
 	})
 	if len(candidates) == 0 {
--- a/internal/box/status.go
+++ b/internal/box/status.go
@@ -10,35 +10,35 @@
 
 type jsonRecord = json.RawMessage
 
-// Status is what a box says of itself and of the fleet as it sees it.
+// Status is a box's state and its view of the fleet.
 type Status struct {
 	Box           string       `json:"box"`
 	FailureDomain string       `json:"failure_domain"`
 	Ready         bool         `json:"ready"`
 	NowMs         clock.Millis `json:"now_ms"`
-	// TableOffset is the offset that the table in force has reached.
+	// TableOffset is the log offset up to which the current table has been applied.
 	TableOffset int64 `json:"table_offset"`
-	// LogSource is where the table's records came from last.
+	// LogSource is the source of the newest table records.
 	LogSource string `json:"log_source"`
-	// LogReadMs is the instant of the last read that was answered.
+	// LogReadMs is the time of the last successful read.
 	LogReadMs clock.Millis `json:"log_read_ms"`
 	Running   int          `json:"running"`
 	Waiting   int          `json:"waiting"`
 	Upstreams []pool.Load  `json:"upstreams"`
-	// Orders is the lease to give orders, when this box holds it.
+	// Orders is the lease to send orders, if this box holds it.
 	Orders *OrdersStatus `json:"orders,omitempty"`
 	Peers  []PeerStatus  `json:"peers"`
 	// Lowest is the box of this failure domain whose table is furthest behind.
 	Lowest LowestOffset `json:"lowest"`
 }
 
-// OrdersStatus is the lease to give orders to a failure domain's engines.
+// OrdersStatus is the lease to send orders to the engines of a failure domain.
 type OrdersStatus struct {
 	Token   int64        `json:"token"`
 	UntilMs clock.Millis `json:"until_ms"`
 }
 
-// PeerStatus is another box of the failure domain as this one sees it.
+// PeerStatus is the state of another box of the failure domain as known to this box.
 type PeerStatus struct {
 	Name        string `json:"name"`
 	Status      string `json:"status"`
@@ -46,13 +46,13 @@
 	InFlight    uint32 `json:"in_flight"`
 }
 
-// LowestOffset names the box whose table is furthest behind.
+// LowestOffset is the box whose table is furthest behind.
 type LowestOffset struct {
 	Box         string `json:"box"`
 	TableOffset int64  `json:"table_offset"`
 }
 
-// Status returns the box's state now.
+// Status returns the box's current status.
 func (b *Box) Status() Status {
 	running, waiting := b.admit.Lengths()
 	status := Status{
@@ -70,12 +70,12 @@
 func (s *Status) addPeers(members []membership.Member, facts map[string]membership.Facts) {
 	s.Lowest = LowestOffset{Box: s.Box, TableOffset: s.TableOffset}
 	for _, member := range members {
-		told, known := facts[member.Name]
+		reported, known := facts[member.Name]
 		s.Peers = append(s.Peers, PeerStatus{
-			Name: member.Name, Status: member.Status.String(), TableOffset: told.TableOffset, InFlight: told.InFlight,
+			Name: member.Name, Status: member.Status.String(), TableOffset: reported.TableOffset, InFlight: reported.InFlight,
 		})
-		if known && told.TableOffset < s.Lowest.TableOffset {
-			s.Lowest = LowestOffset{Box: member.Name, TableOffset: told.TableOffset}
+		if known && reported.TableOffset < s.Lowest.TableOffset {
+			s.Lowest = LowestOffset{Box: member.Name, TableOffset: reported.TableOffset}
 		}
 	}
 }
--- a/internal/box/table.go
+++ b/internal/box/table.go
@@ -19,32 +19,32 @@
 	"dooryard.example/dooryard/internal/tablestore"
 )
 
-// Times and counts of following the table.
+// Parameters of table replication.
 const (
-	// readers is how many boxes of a failure domain read the table from the
-	// platform; the others take it from them.
-	readers = 2
-	// relayFanout is how many boxes take records from one, at first choice.
+	// tableReaders is the number of boxes of a failure domain that read the table from the
+	// platform. The others read it from these boxes.
+	tableReaders = 2
+	// relayFanout is the number of boxes that have the same box as their preferred relay.
 	relayFanout = 4
-	// catchUpMs is how often a box looks whether others are ahead of it.
-	catchUpMs = 500 * clock.Millis(1)
-	// relaysTried bounds the peers that one read tries.
-	relaysTried     = 2
-	stateTimeoutMs  = 10 * clock.Second
-	catchUpRecords  = 1000
-	snapshotScan    = 256
-	snapshotCheckMs = 10 * clock.Second
-	// snapshotRecords is how many records the table grows before the next one.
-	snapshotRecords = 500
-	// snapshotTurnMs is how long a box waits for each box that is before it in
-	// rank to write the snapshot.
-	snapshotTurnMs = 30 * clock.Second
+	// catchUpIntervalMs is how often a box checks whether others are ahead of it.
+	catchUpIntervalMs = 500 * clock.Millis(1)
+	// maxRelaysTried bounds the number of peers tried by one read.
+	maxRelaysTried      = 2
+	stateTimeoutMs      = 10 * clock.Second
+	catchUpRecords      = 1000
+	snapshotScanRecords = 256
+	snapshotCheckMs     = 10 * clock.Second
+	// snapshotIntervalRecords is the number of table records between two snapshots.
+	snapshotIntervalRecords = 500
+	// snapshotRankDelayMs is the delay before a box writes the snapshot, for each box of a
+	// higher rank.
+	snapshotRankDelayMs = 30 * clock.Second
 )
 
-// relays are the boxes of this domain from which this one takes the table's
-// records, and whether this box reads them from the platform itself. The boxes
-// form a tree by rank, so that each serves a few others only.
-func (b *Box) relays() (addresses []string, reads bool) {
+// tableRelays returns the boxes of this failure domain from which this box reads the table's
+// records, and whether it reads them from the platform itself. The boxes form a tree by rank,
+// so that each box serves only a few others.
+func (b *Box) tableRelays() (addresses []string, reads bool) {
 	live := b.gossip.Live()
 	hashes := make([]uint64, len(live))
 	for i, name := range live {
@@ -52,25 +52,26 @@
 	}
 	order := route.Rank(route.NewKey("", tablestore.Stream), hashes)
 	own := slices.IndexFunc(order, func(at int) bool { return live[at] == b.settings.Box })
-	for _, rank := range parents(own) {
+	for _, rank := range parentRanks(own) {
 		if address := b.peerAddress(live[order[rank]]); address != "" {
 			addresses = append(addresses, address)
 		}
 	}
-	return addresses, own < readers
+	return addresses, own < tableReaders
 }
 
-// parents are the ranks that a rank takes records from: none for a reader, else
-// two further up the tree.
-func parents(rank int) []int {
-	if rank < readers {
+// parentRanks returns the ranks from which a rank reads records: none for a reader, otherwise
+// two ranks further up the tree.
+func parentRanks(rank int) []int {
+	if rank < tableReaders {
 		return nil
 	}
-	first := (rank - readers) / relayFanout
+	first := (rank - tableReaders) / relayFanout
 	return []int{first, first + 1}
 }
 
-// peerAddress is the peers' listener of a live box of this domain, or "".
+// peerAddress returns the address of the peer listener of a live box of this failure domain,
+// or "".
 func (b *Box) peerAddress(name string) string {
 	for _, member := range b.gossip.Members() {
 		if member.Name == name && member.Status <= membership.Suspect {
@@ -80,9 +81,9 @@
 	return ""
 }
 
-// tableSources are the ways to the table's records, the best first.
+// tableSources returns the sources of the table's records in order of preference.
 func (b *Box) tableSources() []logstream.Source {
-	addresses, reads := b.relays()
+	addresses, reads := b.tableRelays()
 	direct := logstream.Source{Name: "platform", Read: b.readPlatform}
 	sources := []logstream.Source{}
 	if reads || len(addresses) == 0 {
@@ -94,15 +95,16 @@
 	if !reads && len(addresses) > 0 {
 		sources = append(sources, direct)
 	}
-	elsewhere := b.listedElsewhere()
-	rand.Shuffle(len(elsewhere), func(i, j int) { elsewhere[i], elsewhere[j] = elsewhere[j], elsewhere[i] })
-	for _, listed := range elsewhere[:min(relaysTried, len(elsewhere))] {
+	remotes := b.remoteBoxes()
+	rand.Shuffle(len(remotes), func(i, j int) { remotes[i], remotes[j] = remotes[j], remotes[i] })
+	for _, listed := range remotes[:min(maxRelaysTried, len(remotes))] {
 		sources = append(sources, b.peerSource(listed.PeerAddress))
 	}
 	return sources
 }
 
-// readPlatform bounds a read by its wait and the platform's timeout.
+// readPlatform reads the table's records from the platform. The read is bounded by its
+// long-poll wait plus the platform timeout.
 func (b *Box) readPlatform(
 	ctx context.Context, from int64, limit int, waitMs clock.Millis,
 ) (backing.Page, error) {
@@ -127,15 +129,15 @@
 	}}
 }
 
-// followTable takes a table to start from and follows the stream.
+// followTable loads an initial table and follows the stream.
 func (b *Box) followTable(ctx context.Context) {
-	b.startTable(ctx)
+	b.bootstrapTable(ctx)
 	b.follower.Run(ctx)
 }
 
-// startTable takes the newest whole table that can be had, so that a box serves
-// soon after its start, also while the log is down. A new fleet has none.
-func (b *Box) startTable(ctx context.Context) {
+// bootstrapTable loads the newest complete table available, so that a box can serve soon after
+// its start, even while the log is unavailable. A new fleet has none.
+func (b *Box) bootstrapTable(ctx context.Context) {
 	state := b.stateFromPeers(ctx)
 	if state == nil {
 		state = b.stateFromSnapshots(ctx)
@@ -145,8 +147,8 @@
 	}
 }
 
-// recoverTable goes on from a whole table when the log no longer keeps what the
-// box needs.
+// recoverTable loads a complete table when the log no longer retains the records that the box
+// needs.
 func (b *Box) recoverTable(ctx context.Context, _ int64) (int64, error) {
 	for _, source := range []func(context.Context) *table.State{b.stateFromSnapshots, b.stateFromPeers} {
 		if state := source(ctx); state != nil && state.Offset() > b.store.State().Offset() {
@@ -156,7 +158,7 @@
 	return 0, backing.ErrExpired
 }
 
-// stateFromPeers asks a few boxes that may have the table, or returns nil.
+// stateFromPeers requests the table from a few peers. It returns nil if none of them has it.
 func (b *Box) stateFromPeers(ctx context.Context) *table.State {
 	for _, address := range b.statePeers() {
 		bounded, cancel := context.WithTimeout(ctx, stateTimeoutMs.Duration())
@@ -165,7 +167,7 @@
 		if err == nil {
 			return state
 		}
-		b.logger.Debug("no table from peer", zap.String("peer", address), zap.Error(err))
+		b.logger.Debug("reading table from peer failed", zap.String("peer", address), zap.Error(err))
 	}
 	return nil
 }
@@ -177,26 +179,26 @@
 			addresses = append(addresses, member.PeerAddress)
 		}
 	}
-	// Boxes that start together must not all ask the same ones.
+	// Shuffling prevents boxes that start together from all asking the same peers.
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	for _, listed := range b.listedElsewhere() {
+	for _, listed := range b.remoteBoxes() {
 		addresses = append(addresses, listed.PeerAddress)
 	}
-	return addresses[:min(2*relaysTried, len(addresses))]
+	return addresses[:min(2*maxRelaysTried, len(addresses))]
 }
 
-// stateFromSnapshots reads the newest snapshot from the log, or returns nil.
+// stateFromSnapshots reads the newest snapshot from the log. It returns nil if there is none.
 func (b *Box) stateFromSnapshots(ctx context.Context) *table.State {
 	chunks, err := b.newestChunks(ctx)
 	if err != nil {
-		b.logger.Debug("no snapshot", zap.Error(err))
+		b.logger.Debug("reading snapshots failed", zap.Error(err))
 		return nil
 	}
 	assembler := snapshot.NewAssembler()
 	for _, chunk := range chunks {
 		if err := assembler.Add(chunk); err != nil {
 			b.metrics.SnapshotAlarms.Add(1)
-			b.logger.Error("snapshots differ", zap.Error(err))
+			b.logger.Error("snapshots of the same offset differ", zap.Error(err))
 		}
 	}
 	state, err := assembler.Newest()
@@ -207,16 +209,16 @@
 	return state
 }
 
-// newestChunks returns the newest chunks on the log, oldest first.
+// newestChunks returns the newest snapshot chunks in the log, oldest first.
 func (b *Box) newestChunks(ctx context.Context) ([]snapshot.Chunk, error) {
 	head, err := b.readLog(ctx, snapshot.Stream, 0, 1, 0)
 	if err != nil && !errors.Is(err, backing.ErrExpired) {
 		return nil, err
 	}
-	from := max(head.FirstOffset, head.EndOffset-snapshotScan)
+	from := max(head.FirstOffset, head.EndOffset-snapshotScanRecords)
 	chunks := []snapshot.Chunk{}
 	for from < head.EndOffset {
-		page, err := b.readLog(ctx, snapshot.Stream, from, snapshotScan, 0)
+		page, err := b.readLog(ctx, snapshot.Stream, from, snapshotScanRecords, 0)
 		if err != nil {
 			return nil, err
 		}
@@ -234,17 +236,17 @@
 	return chunks, nil
 }
 
-// catchUp reads from a box that is ahead of this one. It makes good what a hung
-// read of the log holds back.
+// catchUp reads records from a box that is ahead of this one, which covers for a read of the
+// log that hangs.
 func (b *Box) catchUp(ctx context.Context) {
-	b.clock.Every(ctx, catchUpMs, func(clock.Millis) {
-		address, ahead := b.aheadOf(b.store.State().Offset())
+	b.clock.Every(ctx, catchUpIntervalMs, func(clock.Millis) {
+		address, ahead := b.peerAheadOf(b.store.State().Offset())
 		if !ahead {
 			return
 		}
 		page, err := b.peerSource(address).Read(ctx, b.store.State().Offset(), catchUpRecords, 0)
 		if errors.Is(err, backing.ErrExpired) {
-			b.startTable(ctx)
+			b.bootstrapTable(ctx)
 			return
 		}
 		for _, record := range page.Records {
@@ -254,8 +256,8 @@
 	})
 }
 
-// aheadOf returns a box whose table has gone further than an offset.
-func (b *Box) aheadOf(offset int64) (address string, found bool) {
+// peerAheadOf returns a box whose table is ahead of an offset.
+func (b *Box) peerAheadOf(offset int64) (address string, found bool) {
 	for name, facts := range b.gossip.FactsOf() {
 		if facts.TableOffset > offset {
 			if address := b.peerAddress(name); address != "" {
@@ -263,8 +265,8 @@
 			}
 		}
 	}
-	sums := b.gossip.DomainFacts(domainFactsMs)
-	for _, listed := range b.listedElsewhere() {
+	sums := b.gossip.DomainFacts(domainFactsTTLMs)
+	for _, listed := range b.remoteBoxes() {
 		if sums[membership.NewID(listed.FailureDomain)].TableOffset > offset {
 			return listed.PeerAddress, true
 		}
@@ -272,8 +274,9 @@
 	return "", false
 }
 
-// snapshotLoop lets the box that rendezvous hashing picks write snapshots well
-// inside the log's retention; the next one does when it doesn't come.
+// snapshotLoop writes snapshots often enough that the newest one is always well within the
+// log's retention. Rendezvous hashing ranks the boxes. The first one writes, and the next one
+// takes over if no snapshot appears.
 func (b *Box) snapshotLoop(ctx context.Context) {
 	due := clock.Millis(0)
 	b.clock.Every(ctx, snapshotCheckMs, func(now clock.Millis) {
@@ -282,7 +285,7 @@
 			return
 		}
 		if due == 0 {
-			due = now + snapshotTurnMs*clock.Millis(b.snapshotRank())
+			due = now + snapshotRankDelayMs*clock.Millis(b.snapshotRank())
 		}
 		if now >= due {
 			b.writeSnapshot(ctx)
@@ -291,10 +294,10 @@
 	})
 }
 
-// snapshotDue reports whether the table has grown enough since the newest one.
+// snapshotDue reports whether the table has grown enough since the newest snapshot.
 func (b *Box) snapshotDue(ctx context.Context) bool {
 	offset := b.store.State().Offset()
-	if offset < b.snapshotted.Load()+snapshotRecords {
+	if offset < b.lastSnapshotOffset.Load()+snapshotIntervalRecords {
 		return false
 	}
 	chunks, err := b.newestChunks(ctx)
@@ -302,15 +305,15 @@
 		return false
 	}
 	for _, chunk := range chunks {
-		b.snapshotted.Store(max(b.snapshotted.Load(), chunk.Offset))
+		b.lastSnapshotOffset.Store(max(b.lastSnapshotOffset.Load(), chunk.Offset))
 	}
-	return offset >= b.snapshotted.Load()+snapshotRecords
+	return offset >= b.lastSnapshotOffset.Load()+snapshotIntervalRecords
 }
 
-// snapshotRank is this box's place among all boxes that may write snapshots.
+// snapshotRank returns this box's rank among all boxes that may write snapshots.
 func (b *Box) snapshotRank() int {
 	names := b.gossip.Live()
-	for _, listed := range b.listedElsewhere() {
+	for _, listed := range b.remoteBoxes() {
 		names = append(names, listed.Name)
 	}
 	hashes := make([]uint64, len(names))
@@ -339,11 +342,11 @@
 			return
 		}
 		if _, err := b.append(ctx, snapshot.Stream, data); err != nil {
-			b.logger.Warn("snapshot not written", zap.Error(err))
+			b.logger.Warn("writing snapshot failed", zap.Error(err))
 			return
 		}
 	}
-	b.snapshotted.Store(state.Offset())
+	b.lastSnapshotOffset.Store(state.Offset())
 	b.metrics.SnapshotsMade.Add(1)
 	b.logger.Info("snapshot written", zap.Int64("offset", state.Offset()), zap.Int("chunks", len(chunks)))
 }
