--- a/internal/registry/histories_test.go
+++ b/internal/registry/histories_test.go
@@ -43,7 +43,7 @@
 
 type logRecord struct {
 	record
-	gone bool
+	removed bool
 }
 
 // modelBox is a box with the position at which it continues reading.
@@ -100,8 +100,8 @@
 
 // remove drops a server's entry from the store, if there is one.
 func (h *history) remove(s *modelServer) {
-	if newest, listed := h.newest()[s.id]; listed && !newest.gone {
-		h.log.records = append(h.log.records, logRecord{record: record{id: s.id}, gone: true})
+	if newest, listed := h.newest()[s.id]; listed && !newest.removed {
+		h.log.records = append(h.log.records, logRecord{record: record{id: s.id}, removed: true})
 	}
 }
 
@@ -142,8 +142,8 @@
 }
 
 func (r logRecord) change(era, offset int64) Change {
-	if r.gone {
-		return goneAt(r.id, era, offset)
+	if r.removed {
+		return removalAt(r.id, era, offset)
 	}
 	return r.at(era, offset)
 }
@@ -155,7 +155,7 @@
 	}
 	all := []Change{}
 	for _, i := range offsets {
-		if r := h.log.records[i]; !r.gone {
+		if r := h.log.records[i]; !r.removed {
 			all = append(all, r.copied(h.log.era, i+1))
 		}
 	}
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -43,7 +43,7 @@
 	})
 	t.Run("an older incarnation is ignored after the newer one is removed", func(t *testing.T) {
 		f := newFixture()
-		f.Apply([]Change{started("a", 200, 1), gone("a", 2, 0)})
+		f.Apply([]Change{started("a", 200, 1), removal("a", 2, 0)})
 		assert.Empty(t, f.Apply([]Change{started("a", 100, 3)}))
 		assertIDs(t, f.Registry)
 		f.Apply([]Change{started("a", 200, 4)})
@@ -57,9 +57,9 @@
 	})
 	t.Run("draining of the old incarnation does not apply to the new one", func(t *testing.T) {
 		f := newFixture()
-		leaving := started("a", 100, 1)
-		leaving.Upstream.Draining = true
-		f.Apply([]Change{leaving, started("a", 200, 2)})
+		draining := started("a", 100, 1)
+		draining.Upstream.Draining = true
+		f.Apply([]Change{draining, started("a", 200, 2)})
 		assert.False(t, f.All()[0].Draining)
 	})
 	t.Run("an entry without a start time is updated", func(t *testing.T) {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -24,7 +24,7 @@
 	return Change{Upstream: Upstream{ID: id, Pool: "p", Address: "127.0.0.1:1"}, Position: position.At(0, revision)}
 }
 
-func gone(id string, revision int64, grace clock.Millis) Change {
+func removal(id string, revision int64, grace clock.Millis) Change {
 	return Change{Upstream: Upstream{ID: id}, Gone: true, Position: position.At(0, revision), LapseMs: grace}
 }
 
@@ -40,19 +40,19 @@
 func TestApply(t *testing.T) {
 	t.Run("an older change is ignored, whatever the order of arrival", func(t *testing.T) {
 		f := newFixture()
-		f.Apply([]Change{put("a", 1), gone("a", 5, 0)})
+		f.Apply([]Change{put("a", 1), removal("a", 5, 0)})
 		assert.Empty(t, f.Apply([]Change{put("a", 3)}))
 		assertIDs(t, f.Registry)
 	})
 	t.Run("an entry without a grace period is removed at once", func(t *testing.T) {
 		f := newFixture()
-		f.Apply([]Change{put("a", 1), put("b", 2), gone("a", 3, 0)})
+		f.Apply([]Change{put("a", 1), put("b", 2), removal("a", 3, 0)})
 		assertIDs(t, f.Registry, "b")
 	})
 	t.Run("a removed entry may reappear within its grace period", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{put("a", 1), put("b", 2)})
-		f.Apply([]Change{gone("a", 3, 1700), gone("b", 4, 1700)})
+		f.Apply([]Change{removal("a", 3, 1700), removal("b", 4, 1700)})
 		assertIDs(t, f.Registry, "a", "b")
 		f.Apply([]Change{put("a", 5)})
 		f.now += 1700
@@ -61,9 +61,9 @@
 	})
 	t.Run("a draining upstream gets no grace period", func(t *testing.T) {
 		f := newFixture()
-		leaving := put("a", 1)
-		leaving.Upstream.Draining = true
-		f.Apply([]Change{leaving, gone("a", 2, 1700)})
+		draining := put("a", 1)
+		draining.Upstream.Draining = true
+		f.Apply([]Change{draining, removal("a", 2, 1700)})
 		assertIDs(t, f.Registry)
 	})
 }
@@ -89,7 +89,7 @@
 		from, to := newFixture(), newFixture()
 		from.Apply([]Change{put("a", 1), put("b", 2)})
 		to.Merge(from.Since(position.Position{}))
-		from.Apply([]Change{gone("a", 3, 0)})
+		from.Apply([]Change{removal("a", 3, 0)})
 		update := from.Since(to.Position())
 		assert.False(t, update.Whole)
 		assert.Len(t, update.Changes, 1)
--- a/internal/registry/restored.go
+++ b/internal/registry/restored.go
@@ -28,8 +28,8 @@
 
 // supersedes reports whether the known entry takes precedence over a record from the store's
 // copy: the same incarnation wrote both, and nothing in the copied record is newer. An entry
-// that another writer replaced never takes precedence, because the upstream itself did not end
-// it.
+// replaced by another writer never takes precedence, because the upstream did not end that
+// entry itself.
 func (e entry) supersedes(c Change) bool {
 	if c.Gone || !c.Copied || e.position.Era == c.Position.Era || c.Upstream.StartedMs != e.startedMs || e.unusable {
 		return false
--- a/internal/registry/restored_test.go
+++ b/internal/registry/restored_test.go
@@ -36,7 +36,7 @@
 	return c
 }
 
-func goneAt(id string, era, offset int64) Change {
+func removalAt(id string, era, offset int64) Change {
 	return Change{Upstream: Upstream{ID: id}, Gone: true, Position: position.At(era, offset)}
 }
 
@@ -55,16 +55,16 @@
 
 func TestRestored(t *testing.T) {
 	ready := record{id: "a", started: 100, sequence: 3}
-	leaves := record{id: "a", started: 100, sequence: 7, draining: true}
+	shuttingDown := record{id: "a", started: 100, sequence: 7, draining: true}
 	t.Run("an older record does not undo draining", func(t *testing.T) {
 		f := newFixture()
-		f.Apply([]Change{leaves.at(1, 9)})
+		f.Apply([]Change{shuttingDown.at(1, 9)})
 		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		assertDraining(t, f, "a", true)
 	})
 	t.Run("a newer record undoes draining", func(t *testing.T) {
 		f := newFixture()
-		f.Apply([]Change{leaves.at(1, 9)})
+		f.Apply([]Change{shuttingDown.at(1, 9)})
 		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		f.Apply([]Change{{Upstream: ready.at(0, 0).Upstream, Position: position.At(2, 6), Sequence: 9}})
 		assertDraining(t, f, "a", false)
@@ -72,22 +72,22 @@
 	t.Run("a newer record in the copy is accepted", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{ready.at(1, 9)})
-		f.Replace([]Change{leaves.copied(2, 4)}, position.At(2, 5), reappearMs)
+		f.Replace([]Change{shuttingDown.copied(2, 4)}, position.At(2, 5), reappearMs)
 		assertDraining(t, f, "a", true)
 	})
 	t.Run("an older record does not bring back a removed upstream", func(t *testing.T) {
 		f := newFixture()
-		f.Apply([]Change{ready.at(1, 4), goneAt("a", 1, 9)})
+		f.Apply([]Change{ready.at(1, 4), removalAt("a", 1, 9)})
 		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		assertIDs(t, f.Registry)
-		f.Apply([]Change{goneAt("a", 2, 6)})
+		f.Apply([]Change{removalAt("a", 2, 6)})
 		f.now += staleRecordMs
 		f.Expire()
 		assertIDs(t, f.Registry)
 	})
 	t.Run("a removed upstream is restored if the store keeps listing it", func(t *testing.T) {
 		f := newFixture()
-		f.Apply([]Change{ready.at(1, 4), goneAt("a", 1, 9)})
+		f.Apply([]Change{ready.at(1, 4), removalAt("a", 1, 9)})
 		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		f.now += staleRecordMs
 		f.Expire()
@@ -118,7 +118,7 @@
 	t.Run("another writer's entry in the copy removes the upstream only after the grace period", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{ready.at(1, 9)})
-		foreign := goneAt("a", 2, 4)
+		foreign := removalAt("a", 2, 4)
 		foreign.Unusable, foreign.Copied = true, true
 		f.Replace([]Change{foreign}, position.At(2, 5), reappearMs)
 		assertIDs(t, f.Registry, "a")
@@ -128,7 +128,7 @@
 	})
 	t.Run("an upstream replaced by another writer returns with its own record", func(t *testing.T) {
 		f := newFixture()
-		foreign := goneAt("a", 1, 9)
+		foreign := removalAt("a", 1, 9)
 		foreign.Unusable = true
 		f.Apply([]Change{ready.at(1, 4), foreign})
 		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
@@ -137,7 +137,7 @@
 	t.Run("a late change of an earlier era is ignored", func(t *testing.T) {
 		f := newFixture()
 		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), 0)
-		assert.Empty(t, f.Apply([]Change{goneAt("a", 1, 99)}))
+		assert.Empty(t, f.Apply([]Change{removalAt("a", 1, 99)}))
 		assert.Empty(t, f.Replace(nil, position.At(1, 99), 0))
 		assertIDs(t, f.Registry, "a")
 	})
