--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -1,5 +1,4 @@
-// Package pipeline is the table of contents of a request: the steps it goes
-// through, in order.
+// Package pipeline runs a request through its processing steps, in a fixed order.
 package pipeline
 
 import (
@@ -20,16 +19,16 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// Step is one step of a request's way.
+// Step is one processing step of a request.
 type Step interface {
 	fmt.Stringer
-	// Default fills in the settings that the step uses; it comes before Run.
+	// Default sets the defaults of the settings that the step uses. It is called before Run.
 	Default(settings *config.Router)
-	// Run does the step's work. An error ends the steps.
+	// Run processes a request. An error other than pipe.ErrSkip ends the processing.
 	Run(x *exchange.Exchange) error
 }
 
-// Steps are the steps of a box.
+// Steps holds the steps of a box.
 type Steps struct {
 	Identify *identify.Pipe
 	Admit    *admit.Pipe
@@ -39,15 +38,15 @@
 	Settle   *settle.Pipe
 }
 
-// list returns the steps in their order; the last one always runs.
-func (s Steps) list() (steps []Step, last Step) {
+// ordered returns the steps in order, and the last step, which runs for every request.
+func (s Steps) ordered() (steps []Step, last Step) {
 	return []Step{
-		s.Identify, // who asks what, and until when
-		s.Admit,    // limits and a fair turn
-		s.Claim,    // at most once, where it matters
-		s.Route,    // which upstream
-		s.Forward,  // the attempts and the answer
-	}, s.Settle // give back, count, log
+		s.Identify, // authentication, parsing and deadline
+		s.Admit,    // organisation limits and fair queueing
+		s.Claim,    // idempotency key
+		s.Route,    // upstream selection
+		s.Forward,  // attempts and response
+	}, s.Settle // resource release, metrics and log
 }
 
 // Pipeline runs requests through the steps.
@@ -57,27 +56,28 @@
 	logger *zap.Logger
 }
 
-// New returns a pipeline whose steps have filled in their defaults.
+// New returns a pipeline and applies the defaults of its steps to the settings.
 func New(steps Steps, settings *config.Router, logger *zap.Logger) *Pipeline {
-	list, last := steps.list()
-	for _, step := range append(list[:len(list):len(list)], last) {
+	ordered, last := steps.ordered()
+	for _, step := range append(ordered[:len(ordered):len(ordered)], last) {
 		step.Default(settings)
 	}
-	return &Pipeline{steps: list, last: last, logger: logger}
+	return &Pipeline{steps: ordered, last: last, logger: logger}
 }
 
-// Serve takes a request from its arrival to its settled outcome.
+// Serve runs the steps for a request. The last step runs even if an earlier one fails.
 func (p *Pipeline) Serve(x *exchange.Exchange) {
-	defer p.settle(x)
+	defer p.runLast(x)
 	for _, step := range p.steps {
-		if !p.proceed(x, step, step.Run(x)) {
+		if !p.handleResult(x, step, step.Run(x)) {
 			return
 		}
 	}
 }
 
-// proceed answers a step's error and reports whether the next step comes.
-func (p *Pipeline) proceed(x *exchange.Exchange, step Step, err error) bool {
+// handleResult handles the result of a step, responds with its error if needed, and reports whether
+// the next step runs.
+func (p *Pipeline) handleResult(x *exchange.Exchange, step Step, err error) bool {
 	switch {
 	case err == nil:
 		return true
@@ -98,8 +98,9 @@
 	return false
 }
 
-func (p *Pipeline) settle(x *exchange.Exchange) {
+// runLast runs the last step.
+func (p *Pipeline) runLast(x *exchange.Exchange) {
 	if err := p.last.Run(x); err != nil {
-		p.logger.Error("request not settled", zap.String("request", x.ID), zap.Error(err))
+		p.logger.Error("could not settle request", zap.String("request", x.ID), zap.Error(err))
 	}
 }
