--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -1,6 +1,6 @@
-// Package decision holds the log lines that explain a box: one typed event for
-// each decision that touches a request or changes what the box believes. This
-// file is the list of them; times are in milliseconds.
+// Package decision defines the structured log events that explain a box's behaviour: one
+// typed event for each decision that affects a request or changes the box's view of the
+// fleet. Times are in milliseconds.
 package decision
 
 import (
@@ -16,12 +16,12 @@
 	zapcore.ObjectMarshaler
 	// Name is the line's message.
 	Name() string
-	// Routine events are told of each request that goes well. They are dropped
-	// first when there are too many lines.
+	// Routine reports whether the event is logged for every successful request. Routine
+	// events are dropped first when the line rate limit is exceeded.
 	Routine() bool
 }
 
-// Picked tells which upstream a request is sent to and why.
+// Picked records which upstream a request is sent to and why.
 type Picked struct {
 	Request  string
 	Route    string
@@ -31,23 +31,23 @@
 	Upstream string
 	// Attempt counts from 1.
 	Attempt int
-	// Rank is the upstream's place in the order of preference, from 0.
+	// Rank is the upstream's position in the order of preference, from 0.
 	Rank int
-	// Load is how many requests the upstream was thought to hold, MeanPercent
-	// the pool's mean in percent of a request.
+	// Load is the estimated number of requests in flight at the upstream. MeanPercent is
+	// the pool's mean load, in percent of one request.
 	Load        int
 	MeanPercent int
-	// PassedOver is the engine that comes first for the session, if another one was
-	// taken, and PassedWhy says why.
+	// PassedOver is the engine ranked first for the session, if another one was picked.
+	// PassedWhy is the reason.
 	PassedOver string
 	PassedWhy  string
-	// FetchFrom is the engine to take cached parts from.
+	// FetchFrom is the engine from which to fetch cached prefixes.
 	FetchFrom string
-	// ReadTokens is how many tokens of shared parts the engine likely reads, ReadWhy why
-	// no engine's copy serves.
+	// ReadTokens is the estimated number of tokens of shared prefixes that the engine has
+	// to process itself. ReadWhy is the reason why no engine's cached copy can be used.
 	ReadTokens int
 	ReadWhy    string
-	// ResumeAfter is the last event that the caller has, on a resumed stream.
+	// ResumeAfter is the last event that the caller has received, on a resumed stream.
 	ResumeAfter string
 }
 
@@ -80,23 +80,23 @@
 	return nil
 }
 
-// AttemptFailed tells how an attempt ended that did not answer the caller.
+// AttemptFailed records an attempt that produced no response for the caller.
 type AttemptFailed struct {
 	Request string
-	// Fingerprint stands for what the request asks, under whatever id.
+	// Fingerprint identifies the content of the request, independent of its id.
 	Fingerprint string
 	Upstream    string
 	Attempt     int
-	// Proof is what is known of the request at the upstream.
+	// Proof states what is known about the execution of the request at the upstream.
 	Proof string
-	// Status is the upstream's, or 0.
+	// Status is the HTTP status of the upstream's response, or 0.
 	Status int
 	Err    string
-	// Next says what is done now: another attempt, or why there is none.
+	// Next is the next step: another attempt, or the reason why there is none.
 	Next string
-	// AskedRestMs is for how long the upstream wants no request from this box, or 0.
+	// AskedRestMs is the backoff that the upstream asked of this box, or 0.
 	AskedRestMs clock.Millis
-	// Leaving is set when the upstream said that it is about to end.
+	// Leaving is set when the upstream announced that it is shutting down.
 	Leaving bool
 	TookMs  clock.Millis
 }
@@ -129,10 +129,10 @@
 	return nil
 }
 
-// Ended tells how a request ended.
+// Ended records the outcome of a request.
 type Ended struct {
 	Request string
-	// Fingerprint stands for what the request asks, or is empty if its body was not read.
+	// Fingerprint identifies the content of the request; it is empty if the body was not read.
 	Fingerprint  string
 	Route        string
 	Organisation string
@@ -140,7 +140,7 @@
 	Version      int64
 	AgeMs        clock.Millis
 	Status       int
-	// Cause is set when the answer is the router's own or was cut off.
+	// Cause is set when the router generated the response or the response was cut off.
 	Cause    string
 	Err      string
 	Attempts int
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// Process tells of the process's own life: start, stop, reload.
+// Process records a lifecycle event of the process: start, stop or reload.
 type Process struct {
 	What string
 	Note string
@@ -190,14 +190,14 @@
 	return nil
 }
 
-// Dependency tells that something the box depends on was lost or is back.
+// Dependency records that the box lost or regained a dependency.
 type Dependency struct {
-	// Dependency is "store" or "way to a failure domain".
+	// Dependency is "store" or "path to a failure domain".
 	Dependency string
 	ID         string
 	Lost       bool
 	Err        string
-	// AwayMs is how long it was away, once it is back.
+	// AwayMs is how long the dependency was unavailable; it is logged when it is available again.
 	AwayMs clock.Millis
 }
 
@@ -223,15 +223,15 @@
 	return nil
 }
 
-// StoreRestored tells that the store has come back from an older copy: what was written there
-// since is lost until it is written again.
+// StoreRestored records that the store was restored from an older backup: later writes are
+// lost until they are repeated.
 type StoreRestored struct {
-	// Before and Era are the eras before and now.
+	// Before and Era are the previous and the current era of the store.
 	Before, Era int64
-	// Source is who told it.
+	// Source is where the box learned of the restore.
 	Source string
-	// Position is the newest of the upstreams' records that the box knew then, and Version that
-	// of the routing state in force.
+	// Position is the position of the newest upstream record that the box knew at the time.
+	// Version is the version of the active routing state.
 	Position position.Position
 	Version  int64
 }
@@ -252,7 +252,7 @@
 	return nil
 }
 
-// StateAdopted tells that a newer routing state is in force.
+// StateAdopted records that a newer routing state became active.
 type StateAdopted struct {
 	Version int64
 	Source  string
@@ -273,7 +273,7 @@
 	return nil
 }
 
-// UpstreamChanged tells what was learnt of an upstream.
+// UpstreamChanged records a change of an upstream's state.
 type UpstreamChanged struct {
 	Upstream string
 	Pool     string
@@ -299,14 +299,14 @@
 	return nil
 }
 
-// UpstreamAsked tells what an upstream first said of itself in an answer: that it wants rest
-// from this box, or that it leaves.
+// UpstreamAsked records the first response in which an upstream asked this box to back off
+// or announced its shutdown.
 type UpstreamAsked struct {
 	Upstream string
 	Pool     string
-	// RestMs is for how long it wants no request, or 0 if it leaves.
+	// RestMs is the requested backoff, or 0 if the upstream is shutting down.
 	RestMs clock.Millis
-	// AnswerTo is the request in whose answer it said so.
+	// AnswerTo is the id of the request whose response carried the signal.
 	AnswerTo string
 }
 
@@ -332,11 +332,11 @@
 	return nil
 }
 
-// UpstreamEnded tells that connections to an upstream broke and its host refuses new ones.
+// UpstreamEnded records that an upstream's connections broke and its host refuses new ones.
 type UpstreamEnded struct {
 	Upstream string
-	// Fingerprints are what the requests asked whose connections broke, as far as this box
-	// had any there.
+	// Fingerprints identify the content of this box's requests whose connections to the
+	// upstream broke.
 	Fingerprints []string
 }
 
@@ -353,14 +353,15 @@
 	return nil
 }
 
-// Quarantined tells that requests with a fingerprint are quarantined from now on, or no longer.
+// Quarantined records that requests with a fingerprint are quarantined or released.
 type Quarantined struct {
 	Fingerprint string
-	// Upstreams is how many ended under it.
+	// Upstreams is the number of upstreams that ended while running such a request.
 	Upstreams int
-	// HoldMs is for how long, or 0 when it is let go since an upstream answered it.
+	// HoldMs is the duration of the quarantine, or 0 on release because an upstream answered
+	// such a request.
 	HoldMs clock.Millis
-	// Source is who told: this box, another one or the store.
+	// Source is where the information came from: this box, another one or the store.
 	Source string
 }
 
@@ -386,7 +387,7 @@
 	return nil
 }
 
-// InputIgnored tells of an input that could not be used, and why.
+// InputIgnored records an input that could not be used, and why.
 type InputIgnored struct {
 	Input string
 	Err   string
@@ -405,21 +406,21 @@
 	return nil
 }
 
-// Dropped tells how many lines were dropped since the last such line.
-type Dropped struct {
+// LinesDropped records the number of lines dropped since the last such event.
+type LinesDropped struct {
 	Lines int64
-	// Routine is how many of them were told of requests that went well.
+	// RoutineLines is the number of them that belong to routine events.
 	RoutineLines int64
 }
 
 // Name implements Event.
-func (Dropped) Name() string { return "lines dropped" }
+func (LinesDropped) Name() string { return "lines dropped" }
 
 // Routine implements Event.
-func (Dropped) Routine() bool { return false }
+func (LinesDropped) Routine() bool { return false }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (e Dropped) MarshalLogObject(o zapcore.ObjectEncoder) error {
+func (e LinesDropped) MarshalLogObject(o zapcore.ObjectEncoder) error {
 	o.AddInt64("lines", e.Lines)
 	o.AddInt64("routine_lines", e.RoutineLines)
 	return nil
--- a/internal/decision/log.go
+++ b/internal/decision/log.go
@@ -11,18 +11,19 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Settings bound the lines.
+// Settings bounds the log's output.
 type Settings struct {
-	// MaxLinesPerSecond is how many lines are written at most, on average over
-	// a second. Routine lines get at most half of them.
+	// MaxLinesPerSecond is the maximum number of lines written per second. Routine
+	// lines may use at most half of it.
 	MaxLinesPerSecond int
-	// MaxWaiting is how many lines wait for the writer at most, of each class.
+	// MaxWaiting is the capacity of each of the two event queues (important and routine).
 	MaxWaiting int
 }
 
-// Log takes events and writes them as JSON lines. Tell never blocks: while the
-// writer is behind, or beyond the bound on lines, events are dropped and counted.
-// Events that are not routine have a queue and half of the lines of their own.
+// Log queues events and writes them as JSON lines. Tell never blocks: events are
+// dropped and counted when a queue is full or the line rate limit is exceeded.
+// Routine and important events have separate queues, each with half of the line rate,
+// so that routine events can't crowd out important ones.
 type Log struct {
 	settings  Settings
 	clock     clock.Clock
@@ -34,7 +35,7 @@
 	droppedRoutine atomic.Int64
 }
 
-// New returns a log that writes to a core. Nothing is written until Run.
+// New returns a log that writes to a core. Nothing is written until Run is called.
 func New(settings Settings, c clock.Clock, core zapcore.Core) *Log {
 	return &Log{
 		settings: settings, clock: c, core: core,
@@ -43,7 +44,7 @@
 	}
 }
 
-// Tell hands an event to the writer.
+// Tell queues an event for the writer and drops it if its queue is full.
 func (l *Log) Tell(e Event) {
 	queue := l.important
 	if e.Routine() {
@@ -52,21 +53,21 @@
 	select {
 	case queue <- e:
 	default:
-		l.drop(e)
+		l.countDropped(e)
 	}
 }
 
-func (l *Log) drop(e Event) {
+func (l *Log) countDropped(e Event) {
 	l.dropped.Add(1)
 	if e.Routine() {
 		l.droppedRoutine.Add(1)
 	}
 }
 
-// DroppedLines returns how many lines were dropped since the start.
+// DroppedLines returns the number of lines dropped since the log was created.
 func (l *Log) DroppedLines() int64 { return l.dropped.Load() }
 
-// Run writes until the context ends, and then what still waits.
+// Run writes events until the context ends, then flushes the queued ones.
 func (l *Log) Run(ctx context.Context) {
 	w := &writer{log: l}
 	for {
@@ -90,56 +91,56 @@
 		case e := <-l.routine:
 			w.write(e)
 		default:
-			// Standard output takes no notice of a failed sync.
+			// A failed sync of standard output has no effect.
 			_ = l.core.Sync()
 			return
 		}
 	}
 }
 
-// writer keeps to the bound on lines, second by second.
+// writer enforces the line rate limit in windows of one second.
 type writer struct {
-	log       *Log
-	secondMs  clock.Millis
-	important int
-	routine   int
-	told      int64
-	toldQuiet int64
+	log             *Log
+	windowStartMs   clock.Millis
+	important       int
+	routine         int
+	reported        int64
+	reportedRoutine int64
 }
 
 func (w *writer) write(e Event) {
 	now := w.log.clock.Steady()
-	if now-w.secondMs >= clock.Second {
-		w.secondMs, w.important, w.routine = now, 0, 0
-		w.tellDropped()
+	if now-w.windowStartMs >= clock.Second {
+		w.windowStartMs, w.important, w.routine = now, 0, 0
+		w.reportDropped()
 	}
 	used := &w.important
 	if e.Routine() {
 		used = &w.routine
 	}
 	if *used >= max(1, w.log.settings.MaxLinesPerSecond/2) {
-		w.log.drop(e)
+		w.log.countDropped(e)
 		return
 	}
 	*used++
-	w.log.line(e)
+	w.log.writeEntry(e)
 }
 
-func (w *writer) tellDropped() {
+func (w *writer) reportDropped() {
 	all, routine := w.log.dropped.Load(), w.log.droppedRoutine.Load()
-	if all == w.told {
+	if all == w.reported {
 		return
 	}
-	w.log.line(Dropped{Lines: all - w.told, RoutineLines: routine - w.toldQuiet})
-	w.told, w.toldQuiet = all, routine
+	w.log.writeEntry(LinesDropped{Lines: all - w.reported, RoutineLines: routine - w.reportedRoutine})
+	w.reported, w.reportedRoutine = all, routine
 }
 
-func (l *Log) line(e Event) {
+func (l *Log) writeEntry(e Event) {
 	level := zapcore.InfoLevel
 	if !e.Routine() {
 		level = zapcore.WarnLevel
 	}
 	entry := zapcore.Entry{Level: level, Time: time.UnixMilli(int64(l.clock.Now())), Message: e.Name()}
-	// There is nowhere else to tell that standard output is gone.
+	// There is no other place to report a failed write to standard output.
 	_ = l.core.Write(entry, []zapcore.Field{zap.Inline(e)})
 }
--- a/internal/decision/log_test.go
+++ b/internal/decision/log_test.go
@@ -14,25 +14,25 @@
 	"dooryard.example/dooryard/internal/logging"
 )
 
-// stuck is an output that takes nothing until it is let go.
-type stuck struct {
-	let chan struct{}
+// blockedWriter is an output whose writes block until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(data []byte) (int, error) {
-	<-s.let
+func (s *blockedWriter) Write(data []byte) (int, error) {
+	<-s.unblock
 	return s.Buffer.Write(data)
 }
 
-func newLog(t *testing.T, out *stuck, settings Settings) *Log {
+func newLog(t *testing.T, out *blockedWriter, settings Settings) *Log {
 	t.Helper()
 	logger, err := logging.New(out, "")
 	require.NoError(t, err)
 	return New(settings, clock.New(), logger.Core())
 }
 
-// lines returns the messages of the lines in order.
+// lines returns the messages of the log lines in order.
 func lines(t *testing.T, out *bytes.Buffer) []string {
 	t.Helper()
 	messages := []string{}
@@ -48,9 +48,9 @@
 }
 
 func TestTell(t *testing.T) {
-	t.Run("never waits for an output that takes nothing", func(t *testing.T) {
+	t.Run("never blocks on a blocked output", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			out := &stuck{let: make(chan struct{})}
+			out := &blockedWriter{unblock: make(chan struct{})}
 			l := newLog(t, out, Settings{MaxLinesPerSecond: 1000, MaxWaiting: 4})
 			ctx, cancel := context.WithCancel(t.Context())
 			go l.Run(ctx)
@@ -60,17 +60,17 @@
 			l.Tell(Ended{Request: "bad", Cause: "no_route"})
 			synctest.Wait()
 			assert.Positive(t, l.DroppedLines())
-			close(out.let)
+			close(out.unblock)
 			synctest.Wait()
 			cancel()
 			synctest.Wait()
-			assert.Contains(t, out.String(), `"bad"`, "what went wrong outlives what went well")
+			assert.Contains(t, out.String(), `"bad"`, "important events must not be crowded out by routine ones")
 		})
 	})
-	t.Run("keeps to the bound on lines and says what it dropped", func(t *testing.T) {
+	t.Run("enforces the line rate limit and reports dropped lines", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			out := &stuck{let: make(chan struct{})}
-			close(out.let)
+			out := &blockedWriter{unblock: make(chan struct{})}
+			close(out.unblock)
 			l := newLog(t, out, Settings{MaxLinesPerSecond: 10, MaxWaiting: 100})
 			ctx, cancel := context.WithCancel(t.Context())
 			go l.Run(ctx)
