--- a/internal/why/why.go
+++ b/internal/why/why.go
@@ -1,5 +1,5 @@
-// Package why reads the log lines of any number of boxes and picks those that
-// explain what became of one request.
+// Package why reads the log lines of any number of boxes and selects those that
+// explain the outcome of one request.
 package why
 
 import (
@@ -13,25 +13,25 @@
 	"time"
 )
 
-// Line is one log line with the fields that tell where it belongs.
+// Line is one log line, with the fields by which lines are selected and sorted.
 type Line struct {
 	Time     time.Time `json:"time"`
 	Message  string    `json:"msg"`
 	Box      string    `json:"box"`
 	Request  string    `json:"request"`
 	Upstream string    `json:"upstream"`
-	// RestMs is for how long what the line tells of holds, if it does for a span.
+	// RestMs is how long the logged state stays in effect, or 0 if it has no duration.
 	RestMs int64 `json:"rest_ms"`
-	// Fields are all others, as they stand in the line.
+	// Fields holds the remaining fields as raw JSON. Upstream and RestMs are in it, too.
 	Fields map[string]json.RawMessage `json:"-"`
 	raw    []byte
 }
 
-// maxLineBytes bounds one log line; longer ones are no lines of ours.
+// maxLineBytes bounds one log line; boxes write no longer ones.
 const maxLineBytes = 1 << 20
 
-// Read adds the lines of a log. What stands before a line's brace, as from a
-// collector of logs, and lines that are no JSON are passed over.
+// Read appends the lines of a log. It ignores text before a line's first brace, such as a
+// prefix of a log collector, and lines that are not JSON.
 func Read(lines []Line, r io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
@@ -61,12 +61,14 @@
 	return line, true
 }
 
-// lastsUntil is when what the line tells of is over.
-func (l Line) lastsUntil() time.Time { return l.Time.Add(time.Duration(l.RestMs) * time.Millisecond) }
+// effectiveUntil returns the time until which the logged state is in effect.
+func (l Line) effectiveUntil() time.Time {
+	return l.Time.Add(time.Duration(l.RestMs) * time.Millisecond)
+}
 
-// Story returns the lines of a request in the order of their times, and those by
-// which its boxes changed what they believe in the span before its end, or earlier if that
-// lasts for a span which had not ended, as the rest of an upstream.
+// Story returns the lines of a request and the state changes that its boxes logged from the
+// span before its first line up to its last line, ordered by time. Earlier state changes are
+// included if they were still in effect, such as the backoff of an upstream.
 func Story(lines []Line, request string, before time.Duration) []Line {
 	own := []Line{}
 	boxes := map[string]bool{}
@@ -79,23 +81,23 @@
 	if len(own) == 0 {
 		return nil
 	}
-	byTime(own)
+	sortByTime(own)
 	first, last := own[0].Time.Add(-before), own[len(own)-1].Time
 	story := own
 	for _, line := range lines {
-		if line.Request == "" && boxes[line.Box] && !line.lastsUntil().Before(first) && !line.Time.After(last) {
+		if line.Request == "" && boxes[line.Box] && !line.effectiveUntil().Before(first) && !line.Time.After(last) {
 			story = append(story, line)
 		}
 	}
-	byTime(story)
+	sortByTime(story)
 	return story
 }
 
-func byTime(lines []Line) {
+func sortByTime(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// Text returns the line for a person: time, box, message and fields.
+// Text formats the line for reading: time, box, message and fields.
 func (l Line) Text() string {
 	names := make([]string, 0, len(l.Fields))
 	for name := range l.Fields {
--- a/internal/why/why_test.go
+++ b/internal/why/why_test.go
@@ -14,7 +14,7 @@
 {"level":"warn","time":"2026-01-01T00:00:01Z","msg":"dependency lost","box":"a","dependency":"store"}
 {"level":"warn","time":"2026-01-01T00:00:01Z","msg":"dependency lost","box":"b","dependency":"store"}
 {"level":"warn","time":"2025-12-31T23:00:00Z","msg":"started","box":"a"}
-no line of ours {
+not a JSON line {
 {"level":"info","time":"2026-01-01T00:00:02Z","msg":"upstream picked","box":"b","request":"r2"}
 `
 
@@ -29,11 +29,11 @@
 func TestStory(t *testing.T) {
 	lines, err := Read(nil, strings.NewReader(log))
 	require.NoError(t, err)
-	t.Run("has the request's lines and what its box learnt shortly before, in order", func(t *testing.T) {
+	t.Run("returns the request's lines and its box's earlier state changes in order", func(t *testing.T) {
 		story := Story(lines, "r1", 5*time.Second)
 		assert.Equal(t, []string{"a dependency lost", "a upstream picked", "a attempt failed"}, messages(story))
 	})
-	t.Run("has the rest of an upstream that had not ended", func(t *testing.T) {
+	t.Run("includes an upstream backoff that was still in effect", func(t *testing.T) {
 		rest := `{"time":"2026-01-01T00:00:00Z","msg":"upstream asks for rest","box":"a","upstream":"u1","rest_ms":%s}`
 		for restMs, want := range map[string]int{"1900": 0, "2000": 1} {
 			more, err := Read(nil, strings.NewReader(log+strings.Replace(rest, "%s", restMs, 1)))
@@ -41,10 +41,10 @@
 			assert.Len(t, Story(more, "r1", 0), 2+want, restMs)
 		}
 	})
-	t.Run("is empty for a request that no line names", func(t *testing.T) {
+	t.Run("returns nothing for an unknown request", func(t *testing.T) {
 		assert.Empty(t, Story(lines, "r9", time.Hour))
 	})
-	t.Run("reads as one line each", func(t *testing.T) {
+	t.Run("formats each line as text", func(t *testing.T) {
 		story := Story(lines, "r1", 0)
 		assert.Equal(t, `00:00:02.000 a upstream picked rank=0 upstream="u1"`, story[0].Text())
 	})
