--- a/internal/why/why.go
+++ b/internal/why/why.go
@@ -61,10 +61,8 @@
 	return line, true
 }
 
-// effectiveUntil returns the time until which the logged state is in effect.
-func (l Line) effectiveUntil() time.Time {
-	return l.Time.Add(time.Duration(l.RestMs) * time.Millisecond)
-}
+// validUntil returns the time until which the logged state is in effect.
+func (l Line) validUntil() time.Time { return l.Time.Add(time.Duration(l.RestMs) * time.Millisecond) }
 
 // Story returns the lines of a request and the state changes that its boxes logged from the
 // span before its first line up to its last line, ordered by time. Earlier state changes are
@@ -85,7 +83,7 @@
 	first, last := own[0].Time.Add(-before), own[len(own)-1].Time
 	story := own
 	for _, line := range lines {
-		if line.Request == "" && boxes[line.Box] && !line.effectiveUntil().Before(first) && !line.Time.After(last) {
+		if line.Request == "" && boxes[line.Box] && !line.validUntil().Before(first) && !line.Time.After(last) {
 			story = append(story, line)
 		}
 	}
--- a/internal/why/why_test.go
+++ b/internal/why/why_test.go
@@ -14,7 +14,7 @@
 {"level":"warn","time":"2026-01-01T00:00:01Z","msg":"dependency lost","box":"a","dependency":"store"}
 {"level":"warn","time":"2026-01-01T00:00:01Z","msg":"dependency lost","box":"b","dependency":"store"}
 {"level":"warn","time":"2025-12-31T23:00:00Z","msg":"started","box":"a"}
-not a JSON line {
+no line of ours {
 {"level":"info","time":"2026-01-01T00:00:02Z","msg":"upstream picked","box":"b","request":"r2"}
 `
 
