--- a/pkg/config/config.go
+++ b/pkg/config/config.go
@@ -1,5 +1,5 @@
-// Package config holds the settings of the project's programs. Field names end
-// in the unit of their value. Defaults live beside the step that uses them.
+// Package config defines the settings files of the project's programs. Field names end
+// in the unit of their value. Defaults are defined next to the code that uses them.
 package config
 
 import (
@@ -11,9 +11,9 @@
 
 // Router is the settings file of dooryard-router.
 type Router struct {
-	// Box is this box's name, unique in the fleet.
+	// Box is the name of this box, unique in the fleet.
 	Box string `yaml:"box"`
-	// FailureDomain is the name of the failure domain this box stands in.
+	// FailureDomain is the name of the failure domain that this box belongs to.
 	FailureDomain string `yaml:"failure_domain"`
 
 	Callers   Listener `yaml:"callers"`
@@ -31,54 +31,54 @@
 	Logs     Logs     `yaml:"logs"`
 }
 
-// Listener is one HTTP listener.
+// Listener configures one HTTP listener.
 type Listener struct {
-	// Address is an IP number and port.
+	// Address is an IP address and port.
 	Address string `yaml:"address"`
-	// KeyFile holds the bearer key that requests must carry. Callers have
-	// keys of their own in the table, so theirs stays empty.
+	// KeyFile is the file with the bearer key that requests must carry. It stays empty on the
+	// callers' listener, since callers have keys of their own in the table.
 	KeyFile string `yaml:"key_file"`
 	TLS     TLS    `yaml:"tls"`
 }
 
-// TLS names certificate files, read again when they change. Empty is plain
-// HTTP.
+// TLS names certificate files, which are reloaded when they change. An empty value means
+// plain HTTP.
 type TLS struct {
 	CertificateFile string `yaml:"certificate_file"`
 	KeyFile         string `yaml:"key_file"`
-	// CAFile holds the certificates that signed the peers', on the peers'
-	// listener only; empty is the system's.
+	// CAFile is the file with the CA certificates that verify the peers' certificates. It
+	// applies to the peers' listener only; empty selects the system's CA certificates.
 	CAFile string `yaml:"ca_file"`
 }
 
-// Enabled reports whether the listener speaks TLS.
+// Enabled reports whether the listener uses TLS.
 func (t TLS) Enabled() bool { return t.CertificateFile != "" || t.KeyFile != "" }
 
-// Peers says how this box meets the fleet's other boxes.
+// Peers configures the communication with the fleet's other boxes.
 type Peers struct {
 	Listener `yaml:",inline"`
-	// GossipAddress is the UDP address for heartbeats, an IP number and port.
+	// GossipAddress is the UDP address for heartbeats, an IP address and port.
 	GossipAddress string `yaml:"gossip_address"`
-	// Contacts are gossip addresses asked at the start while the platform's
-	// list of boxes is missing.
+	// Contacts are the gossip addresses of seed boxes, used at startup while the
+	// platform's list of boxes is unavailable.
 	Contacts []string `yaml:"contacts"`
-	// PeriodMs is the time between two heartbeats.
+	// PeriodMs is the interval between heartbeats.
 	PeriodMs int64 `yaml:"period_ms"`
 }
 
-// Platform names the outside services that the operators run.
+// Platform names the external services that the operators run.
 type Platform struct {
-	// LogURL is the append-only log service.
+	// LogURL is the URL of the append-only log service.
 	LogURL string `yaml:"log_url"`
-	// WeightStoreURL is the weight store.
+	// WeightStoreURL is the URL of the weight store.
 	WeightStoreURL string `yaml:"weight_store_url"`
-	// BoxListURL is the lagging list of live and leaving boxes.
+	// BoxListURL is the URL of the list of live and leaving boxes, which may lag behind.
 	BoxListURL string `yaml:"box_list_url"`
-	// TimeoutMs bounds each call.
+	// TimeoutMs is the timeout of each call.
 	TimeoutMs int64 `yaml:"timeout_ms"`
 }
 
-// Request bounds what a caller may send.
+// Request limits the requests that callers may send.
 type Request struct {
 	MaxBodyBytes      int64 `yaml:"max_body_bytes"`
 	MaxHeaderBytes    int   `yaml:"max_header_bytes"`
@@ -92,76 +92,76 @@
 	MaxDeadlineMs     int64 `yaml:"max_deadline_ms"`
 }
 
-// Route chooses how an upstream is picked.
+// Route configures load balancing.
 type Route struct {
 	// Policy is one of the names that route.Policies lists.
 	Policy string `yaml:"policy"`
-	// LoadBoundPercent is the set multiple of the mean load, in percent.
+	// LoadBoundPercent is the load bound of an upstream, in percent of the mean load.
 	LoadBoundPercent int `yaml:"load_bound_percent"`
-	// SlowStartMs is the time a joining engine takes to reach its full weight.
+	// SlowStartMs is the time in which a joining engine ramps up to its full weight.
 	SlowStartMs int64 `yaml:"slow_start_ms"`
-	// EjectBaseMs is the first time an upstream stays ejected.
+	// EjectBaseMs is the duration of an upstream's first ejection.
 	EjectBaseMs int64 `yaml:"eject_base_ms"`
-	// EjectMaxMs is the longest time an upstream stays ejected.
+	// EjectMaxMs is the maximum duration of an ejection.
 	EjectMaxMs int64 `yaml:"eject_max_ms"`
-	// PanicPercent is the largest part of a pool that may be ejected.
+	// PanicPercent is the maximum percentage of a pool's upstreams that may be ejected.
 	PanicPercent int `yaml:"panic_percent"`
 }
 
-// Admit bounds what waits and what runs on this box.
+// Admit limits the requests that run and wait on this box.
 type Admit struct {
-	// MaxRunning is the number of requests that run at once on this box.
+	// MaxRunning is the maximum number of requests that run concurrently on this box.
 	MaxRunning int `yaml:"max_running"`
-	// MaxWaiting is the number of requests that wait on this box.
+	// MaxWaiting is the maximum number of requests queued on this box.
 	MaxWaiting int `yaml:"max_waiting"`
-	// MaxWaitingPerOrganisation bounds one organisation's part of the queue.
+	// MaxWaitingPerOrganisation is the maximum number of queued requests of one organisation.
 	MaxWaitingPerOrganisation int `yaml:"max_waiting_per_organisation"`
-	// MaxWaitMs is the longest time in the queue.
+	// MaxWaitMs is the maximum time that a request waits in the queue.
 	MaxWaitMs int64 `yaml:"max_wait_ms"`
 }
 
-// Retry bounds repeated attempts.
+// Retry limits retries and sets the timeouts of an attempt.
 type Retry struct {
-	// MaxAttempts counts the first attempt too.
+	// MaxAttempts is the maximum number of attempts, including the first one.
 	MaxAttempts int `yaml:"max_attempts"`
-	// BudgetPercent is the part of first attempts that may be repeated.
+	// BudgetPercent is the retry budget, in percent of first attempts.
 	BudgetPercent int `yaml:"budget_percent"`
-	// FirstByteTimeoutMs bounds the wait for an upstream's headers.
+	// FirstByteTimeoutMs is the timeout for an upstream's response headers.
 	FirstByteTimeoutMs int64 `yaml:"first_byte_timeout_ms"`
-	// ConnectTimeoutMs bounds the connection to an upstream.
+	// ConnectTimeoutMs is the timeout for connecting to an upstream.
 	ConnectTimeoutMs int64 `yaml:"connect_timeout_ms"`
-	// StreamIdleTimeoutMs bounds the time between two parts of a stream.
+	// StreamIdleTimeoutMs is the maximum time between two chunks of a stream.
 	StreamIdleTimeoutMs int64 `yaml:"stream_idle_timeout_ms"`
 }
 
-// Claim sets how unrepeatable requests are claimed on the platform's log.
+// Claim configures the claims of non-idempotent requests on the platform's log.
 type Claim struct {
-	// BatchMs is the time claims gather before one append.
+	// BatchMs is how long claims are batched before one append.
 	BatchMs int64 `yaml:"batch_ms"`
-	// TimeoutMs bounds the wait for a claim's verdict.
+	// TimeoutMs is the timeout for the verdict on a claim.
 	TimeoutMs int64 `yaml:"timeout_ms"`
-	// WindowMs is the time an idempotency key is remembered.
+	// WindowMs is how long an idempotency key is remembered.
 	WindowMs int64 `yaml:"window_ms"`
 }
 
-// Stop sets how a planned stop goes.
+// Stop configures graceful shutdown.
 type Stop struct {
-	// AnnounceMs is the time readiness is false before connections close.
+	// AnnounceMs is how long the box reports that it is not ready before it closes connections.
 	AnnounceMs int64 `yaml:"announce_ms"`
-	// DrainMs is the longest time running requests may take to finish.
+	// DrainMs is the maximum time for running requests to finish.
 	DrainMs int64 `yaml:"drain_ms"`
 }
 
-// Traces chooses the exporter of spans: none, stdout or otlp.
+// Traces configures the exporter of spans: none, stdout or otlp.
 type Traces struct {
 	Exporter string `yaml:"exporter"`
 	// Endpoint is the URL of the collector when the exporter is otlp.
 	Endpoint string `yaml:"endpoint"`
-	// SamplePercent is the part of new traces that are recorded.
+	// SamplePercent is the percentage of new traces that are sampled.
 	SamplePercent int `yaml:"sample_percent"`
 }
 
-// Logs sets the lowest level written: debug, info, warn or error.
+// Logs sets the minimum log level: debug, info, warn or error.
 type Logs struct {
 	Level string `yaml:"level"`
 }
@@ -199,8 +199,8 @@
 	return nil
 }
 
-// numberRule bounds one number; zero always means the default.
-type numberRule struct {
+// rangeCheck is the allowed range of one number. Zero is always allowed and means the default.
+type rangeCheck struct {
 	key       string
 	value     int64
 	low, high int64
@@ -213,7 +213,7 @@
 )
 
 func (r *Router) checkNumbers() error {
-	rules := []numberRule{
+	rules := []rangeCheck{
 		{"peers.period_ms", r.Peers.PeriodMs, 100, 10_000},
 		{"platform.timeout_ms", r.Platform.TimeoutMs, 1, 60_000},
 		{"request.max_body_bytes", r.Request.MaxBodyBytes, 1, gibibyte},
@@ -247,14 +247,14 @@
 		{"stop.drain_ms", r.Stop.DrainMs, 1, dayMs},
 		{"traces.sample_percent", int64(r.Traces.SamplePercent), 1, 100},
 	}
-	checks := []error{}
+	errs := []error{}
 	for _, rule := range rules {
-		checks = append(checks, rule.check())
+		errs = append(errs, rule.check())
 	}
-	return errors.Join(checks...)
+	return errors.Join(errs...)
 }
 
-func (n numberRule) check() error {
+func (n rangeCheck) check() error {
 	if n.value == 0 || (n.value >= n.low && n.value <= n.high) {
 		return nil
 	}
@@ -279,26 +279,26 @@
 }
 
 func (p Peers) check(key string) error {
-	checks := []error{p.Listener.check(key), checkAddress(key+".gossip_address", p.GossipAddress)}
+	errs := []error{p.Listener.check(key), checkAddress(key+".gossip_address", p.GossipAddress)}
 	if p.KeyFile == "" {
 		missing := &FieldError{Key: key + ".key_file", Reason: "is missing: peers authenticate by a shared key"}
-		checks = append(checks, missing)
+		errs = append(errs, missing)
 	}
 	for i, contact := range p.Contacts {
-		checks = append(checks, checkAddress(fmt.Sprintf("%s.contacts[%d]", key, i), contact))
+		errs = append(errs, checkAddress(fmt.Sprintf("%s.contacts[%d]", key, i), contact))
 	}
-	return errors.Join(checks...)
+	return errors.Join(errs...)
 }
 
 func (p Platform) check(key string) error {
-	checks := []error{checkURL(key+".log_url", p.LogURL)}
+	errs := []error{checkURL(key+".log_url", p.LogURL)}
 	if p.WeightStoreURL != "" {
-		checks = append(checks, checkURL(key+".weight_store_url", p.WeightStoreURL))
+		errs = append(errs, checkURL(key+".weight_store_url", p.WeightStoreURL))
 	}
 	if p.BoxListURL != "" {
-		checks = append(checks, checkURL(key+".box_list_url", p.BoxListURL))
+		errs = append(errs, checkURL(key+".box_list_url", p.BoxListURL))
 	}
-	return errors.Join(checks...)
+	return errors.Join(errs...)
 }
 
 func checkName(key, value string) error {
@@ -306,7 +306,7 @@
 		return &FieldError{Key: key, Reason: "is missing"}
 	}
 	if !namePattern.MatchString(value) {
-		return &FieldError{Key: key, Reason: fmt.Sprintf("%q is not a name of small letters, digits and hyphens", value)}
+		return &FieldError{Key: key, Reason: fmt.Sprintf("%q is not a name of lowercase letters, digits or hyphens", value)}
 	}
 	return nil
 }
@@ -316,14 +316,14 @@
 		return &FieldError{Key: key, Reason: "is missing"}
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return &FieldError{Key: key, Reason: fmt.Sprintf("%q is not an IP number and port", value)}
+		return &FieldError{Key: key, Reason: fmt.Sprintf("%q is not an IP address and port", value)}
 	}
 	return nil
 }
 
 var urlPattern = regexp.MustCompile(`^https?://([^/]+)(/.*)?$`)
 
-// checkURL takes http and https URLs whose host is an IP number and port.
+// checkURL accepts http and https URLs whose host is an IP address and port.
 func checkURL(key, value string) error {
 	if value == "" {
 		return &FieldError{Key: key, Reason: "is missing"}
@@ -341,5 +341,5 @@
 			return nil
 		}
 	}
-	return &FieldError{Key: key, Reason: fmt.Sprintf("%q is none of %q", value, allowed[1:])}
+	return &FieldError{Key: key, Reason: fmt.Sprintf("%q is not one of %q", value, allowed[1:])}
 }
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// good is the first example, which each case changes.
-func good(tb testing.TB) string {
+// exampleSettings returns the first example file, which each test case modifies.
+func exampleSettings(tb testing.TB) string {
 	tb.Helper()
 	data, err := os.ReadFile("../../examples/three-boxes/box-1.yaml")
 	require.NoError(tb, err)
@@ -33,19 +33,19 @@
 
 func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for name, c := range map[string]struct{ old, changed, want string }{
-		"unknown key":            {"failure_domain: north", "failure_domain: north\nfailure_domian: x", "box.yaml:4: failure_domian: field failure_domian not found"},
-		"wrong unit":             {"level: info", "level: info\nclaim:\n  batch_ms: 20s", "box.yaml:24: claim.batch_ms: cannot unmarshal !!str `20s`"},
-		"address without number": {"address: 127.0.0.1:8010", "address: localhost:8010", "box.yaml:5: callers.address: \"localhost:8010\" is not an IP number and port"},
-		"missing failure domain": {"failure_domain: north\n", "", "box.yaml:2: failure_domain: is missing"},
-		"number out of bounds":   {"level: info", "level: info\nclaim:\n  window_ms: 5", "box.yaml:24: claim.window_ms: 5 is outside"},
-		"contact in a list":      {"127.0.0.1:8031]", "x]", "peers.contacts[2]"},
-		"half of TLS":            {"address: 127.0.0.1:8010", "address: 127.0.0.1:8010\n  tls:\n    key_file: k", "callers.tls.certificate_file"},
-		"unknown exporter":       {"exporter: none", "exporter: file", "traces.exporter"},
-		"url by name":            {"log_url: http://127.0.0.1:8000", "log_url: http://log:8000", "platform.log_url"},
-		"missing key file":       {"  key_file: examples/three-boxes/operators.key\n", "", "operators.key_file: is missing"},
+		"unknown key":                 {"failure_domain: north", "failure_domain: north\nfailure_domian: x", "box.yaml:4: failure_domian: field failure_domian not found"},
+		"wrong unit":                  {"level: info", "level: info\nclaim:\n  batch_ms: 20s", "box.yaml:24: claim.batch_ms: cannot unmarshal !!str `20s`"},
+		"host name as address":        {"address: 127.0.0.1:8010", "address: localhost:8010", "box.yaml:5: callers.address: \"localhost:8010\" is not an IP address and port"},
+		"missing failure domain":      {"failure_domain: north\n", "", "box.yaml:2: failure_domain: is missing"},
+		"number out of bounds":        {"level: info", "level: info\nclaim:\n  window_ms: 5", "box.yaml:24: claim.window_ms: 5 is outside"},
+		"contact in a list":           {"127.0.0.1:8031]", "x]", "peers.contacts[2]"},
+		"TLS key without certificate": {"address: 127.0.0.1:8010", "address: 127.0.0.1:8010\n  tls:\n    key_file: k", "callers.tls.certificate_file"},
+		"unknown exporter":            {"exporter: none", "exporter: file", "traces.exporter"},
+		"host name in URL":            {"log_url: http://127.0.0.1:8000", "log_url: http://log:8000", "platform.log_url"},
+		"missing key file":            {"  key_file: examples/three-boxes/operators.key\n", "", "operators.key_file: is missing"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := good(t)
+			text := exampleSettings(t)
 			require.Contains(t, text, c.old)
 			_, err := ParseRouter("box.yaml", []byte(strings.Replace(text, c.old, c.changed, 1)))
 			require.ErrorIs(t, err, ErrInvalid)
@@ -57,13 +57,13 @@
 		assert.ErrorIs(t, err, ErrInvalid)
 	})
 	t.Run("second document", func(t *testing.T) {
-		_, err := ParseRouter("box.yaml", []byte(good(t)+"\n---\nbox: other\n"))
+		_, err := ParseRouter("box.yaml", []byte(exampleSettings(t)+"\n---\nbox: other\n"))
 		assert.ErrorIs(t, err, ErrInvalid)
 	})
 }
 
 func FuzzParseRouter(f *testing.F) {
-	f.Add([]byte(good(f)))
+	f.Add([]byte(exampleSettings(f)))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if _, err := ParseRouter("x", data); err != nil {
 			require.ErrorIs(t, err, ErrInvalid)
--- a/pkg/config/fill.go
+++ b/pkg/config/fill.go
@@ -1,9 +1,9 @@
 package config
 
-// Fill sets a setting to its default when the file left it out.
-func Fill[T comparable](setting *T, otherwise T) {
+// Fill sets a setting to its default if the file left it unset.
+func Fill[T comparable](setting *T, defaultValue T) {
 	var zero T
 	if *setting == zero {
-		*setting = otherwise
+		*setting = defaultValue
 	}
 }
--- a/pkg/config/gateway_test.go
+++ b/pkg/config/gateway_test.go
@@ -16,12 +16,12 @@
 `
 
 func TestParseGateway(t *testing.T) {
-	t.Run("takes a whole file", func(t *testing.T) {
+	t.Run("accepts a complete file", func(t *testing.T) {
 		settings, err := ParseGateway("f", []byte(gatewayFile+"freshness: {max_age_ms: 5000}\nretry_budget: {ratio: 0.2, slack: 58}\n"))
 		require.NoError(t, err)
 		assert.Equal(t, int64(5000), settings.Freshness.MaxAgeMs)
 	})
-	t.Run("an empty value takes the default", func(t *testing.T) {
+	t.Run("accepts an empty value, which means the default", func(t *testing.T) {
 		_, err := ParseGateway("f", []byte(gatewayFile+"freshness:\n  max_age_ms: \n"))
 		require.NoError(t, err)
 	})
@@ -33,13 +33,13 @@
 		"load cap":         {"balance: {load_cap: 0.5}\n", "f:7: balance.load_cap"},
 		"negative grace":   {"shutdown: {grace_s: -1}\n", "f:7: shutdown.grace_s"},
 	} {
-		t.Run("names the key and the line of a wrong "+name, func(t *testing.T) {
+		t.Run("reports the key and the line of an invalid "+name, func(t *testing.T) {
 			_, err := ParseGateway("f", []byte(gatewayFile+c.line))
 			require.ErrorIs(t, err, ErrInvalid)
 			assert.ErrorContains(t, err, c.want)
 		})
 	}
-	t.Run("names what is missing", func(t *testing.T) {
+	t.Run("reports missing keys", func(t *testing.T) {
 		_, err := ParseGateway("f", []byte("box: a\n"))
 		require.ErrorIs(t, err, ErrInvalid)
 		for _, key := range []string{"failure_domain", "callers_address", "store.address"} {
--- a/pkg/config/load.go
+++ b/pkg/config/load.go
@@ -13,11 +13,11 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ErrInvalid marks every error that a settings file itself caused.
+// ErrInvalid is wrapped by all errors that are caused by a settings file.
 var ErrInvalid = errors.New("invalid settings")
 
-// FieldError names the key of a settings file that has an unusable value. Key
-// is dotted, with list positions in brackets: "peers.contacts[1]".
+// FieldError is an invalid value in a settings file. Key is the dotted path of the value,
+// with list indexes in brackets, such as "peers.contacts[1]".
 type FieldError struct {
 	Key    string
 	Reason string
@@ -26,17 +26,17 @@
 // Error implements error.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %s", e.Key, e.Reason) }
 
-// Unwrap makes errors.Is(err, ErrInvalid) hold.
+// Unwrap returns ErrInvalid.
 func (e *FieldError) Unwrap() error { return ErrInvalid }
 
-// Checker is a settings type that checks its own values. Check returns
-// FieldErrors joined by errors.Join.
+// Checker is a settings type that validates its own values. Check returns FieldErrors
+// joined by errors.Join.
 type Checker interface {
 	Check() error
 }
 
-// LoadRouter reads and checks a router's settings file. Errors name the file,
-// the line and the key.
+// LoadRouter reads and validates a router's settings file. Errors name the file, the line
+// and the key.
 func LoadRouter(path string) (Router, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return ParseRouter(path, data)
 }
 
-// ParseRouter decodes and checks the content of a router's settings file. The
-// name stands in errors.
+// ParseRouter decodes and validates the content of a router's settings file. Errors
+// include the name.
 func ParseRouter(name string, data []byte) (Router, error) {
 	var settings Router
 	err := parse(name, data, &settings)
@@ -61,19 +61,18 @@
 		return fmt.Errorf("%w: %s: the file is empty", ErrInvalid, name)
 	}
 	if err != nil {
-		return locateDecoding(name, data, err)
+		return locateDecodeErrors(name, data, err)
 	}
 	if err := decoder.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) {
 		return fmt.Errorf("%w: %s: more than one YAML document", ErrInvalid, name)
 	}
-	return locate(name, data, target.Check())
+	return locateFieldErrors(name, data, target.Check())
 }
 
 var linePattern = regexp.MustCompile(`^line (\d+): (.*)$`)
 
-// locateDecoding names the key that stands on each line that the decoder could
-// not use.
-func locateDecoding(name string, data []byte, err error) error {
+// locateDecodeErrors adds the file, the line and the key to each error of the decoder.
+func locateDecodeErrors(name string, data []byte, err error) error {
 	var typeErr *yaml.TypeError
 	var document yaml.Node
 	if !errors.As(err, &typeErr) || yaml.Unmarshal(data, &document) != nil {
@@ -93,8 +92,8 @@
 	return errors.Join(located...)
 }
 
-// keyAt returns the dotted key whose value stands on a line, or the deepest key
-// above it.
+// keyAt returns the dotted path of the value on a line, or of the innermost value that
+// encloses the line.
 func keyAt(node *yaml.Node, line int, path string) string {
 	found := path
 	for i, next := range node.Content {
@@ -107,14 +106,14 @@
 		case node.Kind == yaml.SequenceNode:
 			key = fmt.Sprintf("%s[%d]", path, i)
 		}
-		if begins := firstLine(node, i); begins <= line {
+		if first := firstLine(node, i); first <= line {
 			found = keyAt(next, line, key)
 		}
 	}
 	return found
 }
 
-// firstLine is the line where an entry begins: that of its key, if it has one.
+// firstLine returns the line on which an entry begins: the line of its key, if it has one.
 func firstLine(node *yaml.Node, i int) int {
 	if node.Kind == yaml.MappingNode {
 		return node.Content[i-1].Line
@@ -122,8 +121,8 @@
 	return node.Content[i].Line
 }
 
-// locate prefixes each FieldError with the file and the line of its key.
-func locate(name string, data []byte, err error) error {
+// locateFieldErrors prefixes each FieldError with the file and the line of its key.
+func locateFieldErrors(name string, data []byte, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -154,7 +153,7 @@
 	return []*FieldError{{Key: "(file)", Reason: err.Error()}}
 }
 
-// lineOf returns the line of the deepest part of the key that the file has.
+// lineOf returns the line of the longest prefix of the key that exists in the file.
 func lineOf(document *yaml.Node, key string) int {
 	node := document
 	if node.Kind == yaml.DocumentNode && len(node.Content) > 0 {
@@ -171,8 +170,8 @@
 	return line
 }
 
-// child returns the value under a mapping's key or at a sequence's position,
-// and the line where it is introduced.
+// child returns the value of a mapping's key or at a sequence's index, and the line on
+// which its entry begins.
 func child(node *yaml.Node, part string) (*yaml.Node, int) {
 	if node.Kind == yaml.SequenceNode {
 		var index int
