--- a/pkg/config/gateway.go
+++ b/pkg/config/gateway.go
@@ -72,7 +72,7 @@
 type Balance struct {
 	// LoadCap is the multiple of its pool's mean load that an upstream must never reach.
 	LoadCap float64 `yaml:"load_cap"`
-	// BoundPercent is the load, in percent of the pool's mean, above which a box sends
+	// BoundPercent is the load, in percent of the pool's mean, at which a box starts to send
 	// requests to other upstreams. The default is derived from LoadCap.
 	BoundPercent int `yaml:"bound_percent"`
 	// EjectBaseMs and EjectMaxMs are the first and the maximum duration of an ejection.
