--- a/internal/clock/boot.go
+++ b/internal/clock/boot.go
@@ -4,7 +4,7 @@
 #include <stdint.h>
 #include <time.h>
 
-// boot_ns reads the clock that goes on while the machine is suspended, or returns -1.
+// boot_ns returns the time of the clock that keeps running during suspension, or -1 on failure.
 static int64_t boot_ns(void) {
 	struct timespec t;
 	if (clock_gettime(CLOCK_BOOTTIME, &t) != 0) {
@@ -17,9 +17,9 @@
 
 import "time"
 
-// bootSteady counts from one second before now, so that no reading is zero, on the clock that
-// goes on while the machine is suspended. The C library reads it without a call of the system.
-// Where there is no such clock, it is the one that stands still.
+// bootSteady returns a monotonic clock that keeps running while the machine is suspended. It
+// starts at one second, so that no reading is zero. The C library reads it without a system
+// call. Without CLOCK_BOOTTIME it falls back to the clock that stops during suspension.
 func bootSteady() func() Millis {
 	start := bootTime()
 	if start < 0 {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,28 +11,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fixture is a clock whose time may go on while timers stand still, as they do while a
-// machine is suspended.
+// fixture is a clock whose time can advance without its timers, as it does while a machine
+// is suspended.
 type fixture struct {
 	Clock
-	skippedMs atomic.Int64
+	suspendedMs atomic.Int64
 }
 
 func newFixture() *fixture {
 	f := &fixture{}
 	base := New()
-	f.Clock = New(WithSteady(func() Millis { return base.Steady() + Millis(f.skippedMs.Load()) }))
+	f.Clock = New(WithSteady(func() Millis { return base.Steady() + Millis(f.suspendedMs.Load()) }))
 	return f
 }
 
-// suspend lets a span go by that timers don't count, and wakes what has waited for long enough.
+// suspend advances the clock by a span that timers don't count, then reschedules the timers.
 func (f *fixture) suspend(span Millis) {
-	f.skippedMs.Add(int64(span))
+	f.suspendedMs.Add(int64(span))
 	f.Resumed()
 }
 
-// pass lets a span go by on the bubble's clock.
-func pass(t *testing.T, span time.Duration) {
+// advance lets a span elapse on the clock of the synctest bubble.
+func advance(t *testing.T, span time.Duration) {
 	t.Helper()
 	require.NoError(t, New().Sleep(t.Context(), FromDuration(span)))
 }
@@ -44,7 +44,7 @@
 		synctest.Wait()
 		return slept
 	}
-	t.Run("ends on waking when its time has passed", func(t *testing.T) {
+	t.Run("ends on resume if its time has elapsed", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture()
 			slept := sleep(f, 5*Second)
@@ -54,7 +54,7 @@
 			assert.Zero(t, time.Since(began))
 		})
 	})
-	t.Run("goes on for what is left", func(t *testing.T) {
+	t.Run("waits for the remaining time after a suspension", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture()
 			slept := sleep(f, 5*Second)
@@ -64,7 +64,7 @@
 			assert.Equal(t, 2*time.Second, time.Since(began))
 		})
 	})
-	t.Run("ends with its context", func(t *testing.T) {
+	t.Run("returns the error of its context", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture()
 			ctx, cancel := context.WithCancel(t.Context())
@@ -86,7 +86,7 @@
 			assert.ErrorIs(t, context.Cause(ctx), context.DeadlineExceeded)
 		})
 	})
-	t.Run("ends on waking when its time has passed", func(t *testing.T) {
+	t.Run("ends on resume if its time has elapsed", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture()
 			ctx, cancel := f.WithTimeout(t.Context(), 5*Second)
@@ -96,53 +96,53 @@
 			assert.ErrorIs(t, context.Cause(ctx), context.DeadlineExceeded)
 		})
 	})
-	t.Run("leaves nothing behind", func(t *testing.T) {
+	t.Run("releases its timer on cancel", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture()
 			for range 100 {
 				_, cancel := f.WithTimeout(t.Context(), Second)
 				cancel()
 			}
-			assert.Zero(t, f.waiting())
+			assert.Zero(t, f.pendingTimers())
 		})
 	})
 }
 
 func TestAfterFunc(t *testing.T) {
-	t.Run("runs once, also when a suspension ends as it is due", func(t *testing.T) {
+	t.Run("runs once even if it becomes due during a suspension", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture()
 			var runs atomic.Int32
 			f.AfterFunc(Second, func() { runs.Add(1) })
 			f.suspend(Second)
-			pass(t, 2*time.Second)
+			advance(t, 2*time.Second)
 			synctest.Wait()
 			assert.Equal(t, int32(1), runs.Load())
 		})
 	})
-	t.Run("does not run once it was stopped", func(t *testing.T) {
+	t.Run("does not run after Stop", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture()
-			timer := f.AfterFunc(Second, func() { t.Error("it ran") })
+			timer := f.AfterFunc(Second, func() { t.Error("a stopped timer ran") })
 			assert.True(t, timer.Stop())
 			f.suspend(10 * Second)
-			pass(t, 2*time.Second)
+			advance(t, 2*time.Second)
 		})
 	})
-	t.Run("begins anew", func(t *testing.T) {
+	t.Run("restarts on Reset", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture()
 			ran := make(chan time.Time, 1)
 			timer := f.AfterFunc(Second, func() { ran <- time.Now() })
 			began := time.Now()
-			pass(t, 500*time.Millisecond)
+			advance(t, 500*time.Millisecond)
 			timer.Reset(Second)
 			assert.Equal(t, 1500*time.Millisecond, (<-ran).Sub(began))
 		})
 	})
 }
 
-// TestBootTime reads the clock that counts suspensions.
+// TestBootTime reads the clock that includes suspensions.
 func TestBootTime(t *testing.T) {
 	c := New(WithBootTime())
 	first := c.Steady()
@@ -150,8 +150,8 @@
 	assert.GreaterOrEqual(t, c.Steady(), first)
 }
 
-// BenchmarkSteady reads the steady time: before, on the clock that leaves suspensions out, and
-// after, on the one that counts them.
+// BenchmarkSteady reads the monotonic time: "before" on the clock that excludes suspensions,
+// "after" on the one that includes them.
 func BenchmarkSteady(b *testing.B) {
 	for name, c := range map[string]Clock{"before": New(), "after": New(WithBootTime())} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/clock/timer.go
+++ b/internal/clock/timer.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Timer calls a function once its span of the steady time is over. The system's timers don't
-// count the time in which the machine is suspended, so on waking they are set anew.
+// Timer calls a function after a span of the monotonic time. Go's timers don't count the time
+// in which the machine is suspended, so they are rescheduled when it resumes.
 type Timer struct {
 	timers *timers
 	call   func()
 
-	// Guarded by the timers' lock.
+	// Guarded by timers.mu.
 	system *time.Timer
 	dueMs  Millis
 	done   bool
 }
 
-// Stop keeps the function from being called, and reports whether it did.
+// Stop prevents the function from being called and reports whether it did so.
 func (t *Timer) Stop() bool {
 	t.timers.mu.Lock()
 	defer t.timers.mu.Unlock()
@@ -30,21 +30,21 @@
 	return true
 }
 
-// Reset sets the timer anew, unless it has run or was stopped.
+// Reset restarts the timer with a new span, unless it has fired or was stopped.
 func (t *Timer) Reset(span Millis) {
 	t.timers.mu.Lock()
 	defer t.timers.mu.Unlock()
 	if !t.done {
-		t.set(span)
+		t.restart(span)
 	}
 }
 
-func (t *Timer) set(span Millis) {
+func (t *Timer) restart(span Millis) {
 	t.dueMs = t.timers.steady() + span
 	t.system.Reset(span.Duration())
 }
 
-// run is called by the system's timer.
+// run is called by the Go timer.
 func (t *Timer) run() {
 	t.timers.mu.Lock()
 	due := !t.done
@@ -58,7 +58,7 @@
 	}
 }
 
-// timers are all that wait on a clock.
+// timers holds the pending timers of a clock.
 type timers struct {
 	steady func() Millis
 
@@ -70,15 +70,15 @@
 	return &timers{steady: steady, all: map[*Timer]struct{}{}}
 }
 
-// leastSpan is that of a timer that is due at once: none is, since that crashes Go 1.26's
-// runtime in a test bubble under the race detector.
-const leastSpan = time.Nanosecond
+// minSpan is the minimum span of a timer, since a timer that is due immediately crashes Go
+// 1.26's runtime in a synctest bubble under the race detector.
+const minSpan = time.Nanosecond
 
 func (s *timers) start(span Millis, call func()) *Timer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := &Timer{timers: s, call: call, dueMs: s.steady() + span}
-	t.system = time.AfterFunc(max(leastSpan, span.Duration()), t.run)
+	t.system = time.AfterFunc(max(minSpan, span.Duration()), t.run)
 	s.all[t] = struct{}{}
 	return t
 }
@@ -88,8 +88,8 @@
 	defer s.mu.Unlock()
 	now := s.steady()
 	for t := range s.all {
-		if left := t.dueMs - now; left > 0 {
-			t.system.Reset(left.Duration())
+		if remaining := t.dueMs - now; remaining > 0 {
+			t.system.Reset(remaining.Duration())
 			continue
 		}
 		t.system.Stop()
