--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics holds the counters that a box publishes through expvar.
+// Package metrics defines the counters that a box publishes through expvar.
 package metrics
 
 import (
@@ -6,8 +6,8 @@
 	"net/http"
 )
 
-// Metrics are the counters of one box. Names end in their unit where they have
-// one; counters count since the start of the process.
+// Metrics holds the counters of one box. Names end in their unit if they have one. Counters
+// start at zero when the process starts.
 type Metrics struct {
 	all *expvar.Map
 
@@ -44,7 +44,7 @@
 	SnapshotAlarms  *expvar.Int
 }
 
-// New returns a set of counters at zero.
+// New returns counters set to zero.
 func New() *Metrics {
 	m := &Metrics{all: new(expvar.Map).Init()}
 	for name, target := range map[string]**expvar.Int{
@@ -70,12 +70,12 @@
 	return m
 }
 
-// Publish adds a value that is computed when it is read.
+// Publish adds a value that is computed on each read.
 func (m *Metrics) Publish(name string, value func() any) {
 	m.all.Set(name, expvar.Func(value))
 }
 
-// Values returns all counters by name; computed values are left out.
+// Values returns all counters by name, without computed values.
 func (m *Metrics) Values() map[string]int64 {
 	values := map[string]int64{}
 	m.all.Do(func(entry expvar.KeyValue) {
@@ -86,9 +86,9 @@
 	return values
 }
 
-// ServeHTTP answers with all values as JSON, in expvar's form.
+// ServeHTTP writes all values as JSON in the format of expvar.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
-	// A reader that is gone can't be told.
+	// A write error means that the client is gone, so there is nobody to report it to.
 	_, _ = w.Write([]byte(m.all.String()))
 }
