--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging builds the JSON-lines logger of every program.
+// Package logging creates the JSON-lines logger used by all programs.
 package logging
 
 import (
@@ -9,8 +9,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New returns a logger that writes lines of at least a level: debug, info, warn
-// or error; empty is info.
+// New returns a logger with a minimum level: debug, info, warn or error. An empty level
+// means info.
 func New(w io.Writer, level string) (*zap.Logger, error) {
 	parsed := zapcore.InfoLevel
 	if level != "" {
