--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,4 +1,4 @@
-// Package trace builds the tracer of a box from its settings.
+// Package trace creates the tracer of a box from its settings.
 package trace
 
 import (
@@ -17,24 +17,24 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// Names in spans.
+// Constants of the tracer.
 const (
 	serviceName          = "dooryard-router"
 	defaultSamplePercent = 1
 	percent              = 100
 )
 
-// Tracer is a source of spans and what ends it.
+// Tracer creates spans and shuts down their exporter.
 type Tracer struct {
 	trace.Tracer
 	shutdown func(ctx context.Context) error
 }
 
-// Shutdown sends what is buffered.
+// Shutdown flushes buffered spans and stops the exporter.
 func (t *Tracer) Shutdown(ctx context.Context) error { return t.shutdown(ctx) }
 
-// New returns the tracer that the settings ask for. Spans for the stdout
-// exporter go to w.
+// New returns the tracer selected by the settings. The stdout exporter writes
+// spans to w.
 func New(ctx context.Context, settings config.Traces, box, domain string, w io.Writer) (*Tracer, error) {
 	exporter, err := newExporter(ctx, settings, w)
 	if err != nil {
@@ -66,6 +66,6 @@
 	case "otlp":
 		return otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(settings.Endpoint))
 	default:
-		return nil, nil //nolint:nilnil // no exporter means no spans
+		return nil, nil //nolint:nilnil // without an exporter there are no spans
 	}
 }
