--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -1,5 +1,5 @@
-// Package operators is the interface that operators see: the table, the fleet's
-// status and why a request goes where it goes.
+// Package operators is the HTTP API for operators: the table, the fleet's status
+// and explanations of routing decisions.
 package operators
 
 import (
@@ -17,14 +17,14 @@
 	"dooryard.example/dooryard/internal/tablestore"
 )
 
-// Bounds of a call.
+// Limits of a call.
 const (
-	maxEditBytes                 = 4 << 20
-	submitTimeoutMs              = 15 * clock.Second
-	maxWaitOffsetMs clock.Millis = 30_000
+	maxEditBytes               = 4 << 20
+	submitTimeout              = 15 * clock.Second
+	maxOffsetWait clock.Millis = 30_000
 )
 
-// Dependencies are what the handler needs of its box.
+// Dependencies are the parts of a box that the handler uses.
 type Dependencies struct {
 	Store   *tablestore.Store
 	Pools   *pool.Manager
@@ -33,15 +33,15 @@
 	Metrics http.Handler
 }
 
-// Handler answers operators.
+// Handler serves the operators' API.
 type Handler struct {
-	d   Dependencies
-	mux *http.ServeMux
+	deps Dependencies
+	mux  *http.ServeMux
 }
 
-// New returns the operators' interface.
-func New(d Dependencies) *Handler {
-	h := &Handler{d: d, mux: http.NewServeMux()}
+// New returns a handler of the operators' API.
+func New(deps Dependencies) *Handler {
+	h := &Handler{deps: deps, mux: http.NewServeMux()}
 	h.mux.HandleFunc("GET /v1/table", h.table)
 	h.mux.HandleFunc("GET /v1/table/history", h.history)
 	h.mux.HandleFunc("POST /v1/table/edits", h.edit)
@@ -50,14 +50,14 @@
 	h.mux.HandleFunc("GET /v1/status", h.status)
 	h.mux.HandleFunc("GET /v1/explain", h.explain)
 	h.mux.HandleFunc("POST /v1/drain", h.drain)
-	h.mux.Handle("GET /debug/vars", d.Metrics)
+	h.mux.Handle("GET /debug/vars", deps.Metrics)
 	return h
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// TableReply is the whole table as operators see it.
+// TableReply is the response with the table or a part of it.
 type TableReply struct {
 	Offset int64   `json:"offset"`
 	Sheets []Sheet `json:"sheets"`
@@ -70,13 +70,13 @@
 	Rows    []Row    `json:"rows"`
 }
 
-// Row is one row of Sheet; Cells are in the order of its columns.
+// Row is one row of Sheet. Cells are in the order of the sheet's columns.
 type Row struct {
 	Name  string       `json:"name"`
 	Cells []table.Cell `json:"cells"`
 }
 
-// NewTableReply returns the operators' form of a whole state.
+// NewTableReply returns the whole table of a state.
 func NewTableReply(state *table.State) TableReply {
 	reply := TableReply{Offset: state.Offset(), Sheets: []Sheet{}}
 	for _, name := range table.SheetNames() {
@@ -95,10 +95,10 @@
 	return sheet
 }
 
-// table answers with all sheets, or with the sheet and rows that the query names:
-// a large table takes megabytes.
+// table returns all sheets, or only the sheet and rows that the query selects, since a
+// large table takes megabytes.
 func (h *Handler) table(w http.ResponseWriter, r *http.Request) {
-	state, query := h.d.Store.State(), r.URL.Query()
+	state, query := h.deps.Store.State(), r.URL.Query()
 	name := query.Get("sheet")
 	if name == "" {
 		jsonhttp.Write(w, NewTableReply(state))
@@ -116,21 +116,21 @@
 }
 
 func (h *Handler) history(w http.ResponseWriter, _ *http.Request) {
-	jsonhttp.Write(w, append([]table.HistoryEntry{}, h.d.Store.State().History()...))
+	jsonhttp.Write(w, append([]table.HistoryEntry{}, h.deps.Store.State().History()...))
 }
 
-// edit answers with the verdict: 200 accepted, 409 conflict, 422 invalid, 202
-// when the verdict is unknown and the id must be asked for again, 503 when the
-// edit will never take hold.
+// edit submits an edit and responds with its verdict: 200 if accepted, 409 on conflict, 422
+// if invalid, 202 if the verdict is not known yet and must be queried by id, and 503 if the
+// edit was not appended and will never be applied.
 func (h *Handler) edit(w http.ResponseWriter, r *http.Request) {
 	edit, err := jsonhttp.Read[table.Edit](w, r, maxEditBytes)
 	if err != nil {
 		apierror.New(http.StatusBadRequest, "bad_edit", err.Error()).Write(w)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), submitTimeoutMs.Duration())
+	ctx, cancel := context.WithTimeout(r.Context(), submitTimeout.Duration())
 	defer cancel()
-	verdict, err := h.d.Store.Submit(ctx, edit)
+	verdict, err := h.deps.Store.Submit(ctx, edit)
 	switch {
 	case errors.Is(err, tablestore.ErrVerdictUnknown):
 		jsonhttp.WriteStatus(w, http.StatusAccepted, table.Verdict{ID: edit.ID})
@@ -155,7 +155,7 @@
 }
 
 func (h *Handler) verdict(w http.ResponseWriter, r *http.Request) {
-	verdict, known := h.d.Store.State().Verdict(r.PathValue("id"))
+	verdict, known := h.deps.Store.State().Verdict(r.PathValue("id"))
 	if !known {
 		apierror.New(http.StatusNotFound, "unknown_edit", "no verdict on this edit is known here").Write(w)
 		return
@@ -163,25 +163,25 @@
 	writeVerdict(w, verdict)
 }
 
-// wait answers when the table in force has reached an offset.
+// wait responds when the active table has reached an offset.
 func (h *Handler) wait(w http.ResponseWriter, r *http.Request) {
 	offset, err := strconv.ParseInt(r.URL.Query().Get("offset"), 10, 64)
 	if err != nil {
 		apierror.New(http.StatusBadRequest, "bad_offset", "offset: must be a whole number").Write(w)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), maxWaitOffsetMs.Duration())
+	ctx, cancel := context.WithTimeout(r.Context(), maxOffsetWait.Duration())
 	defer cancel()
-	if err := h.d.Store.WaitFor(ctx, offset); err != nil {
+	if err := h.deps.Store.WaitFor(ctx, offset); err != nil {
 		apierror.New(http.StatusGatewayTimeout, "not_reached", err.Error()).Write(w)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (h *Handler) status(w http.ResponseWriter, _ *http.Request) { jsonhttp.Write(w, h.d.Status()) }
+func (h *Handler) status(w http.ResponseWriter, _ *http.Request) { jsonhttp.Write(w, h.deps.Status()) }
 
-// ExplainReply says how a session's upstreams rank on this box now.
+// ExplainReply is the current ranking of a session's upstreams on this box.
 type ExplainReply struct {
 	Organisation string              `json:"organisation"`
 	Session      string              `json:"session"`
@@ -196,7 +196,7 @@
 	if service := query.Get("service"); service != "" {
 		reply.Pool = pool.Name(table.KindService, service)
 	}
-	ranking, err := h.d.Pools.Explain(reply.Pool, route.NewKey(reply.Organisation, reply.Session))
+	ranking, err := h.deps.Pools.Explain(reply.Pool, route.NewKey(reply.Organisation, reply.Session))
 	if err != nil {
 		apierror.New(http.StatusNotFound, "no_upstream", err.Error()).Write(w)
 		return
@@ -206,6 +206,6 @@
 }
 
 func (h *Handler) drain(w http.ResponseWriter, _ *http.Request) {
-	h.d.Drain()
+	h.deps.Drain()
 	w.WriteHeader(http.StatusAccepted)
 }
