--- a/internal/opclient/opclient.go
+++ b/internal/opclient/opclient.go
@@ -1,4 +1,4 @@
-// Package opclient calls the operators' interface of a box.
+// Package opclient is a client of the operators' API of a box.
 package opclient
 
 import (
@@ -19,27 +19,27 @@
 
 // Sentinel errors of calls.
 var (
-	// ErrUnreachable means that no box answered.
-	ErrUnreachable = errors.New("no box answered")
-	// ErrRefused means that a box answered and refused.
-	ErrRefused = errors.New("refused")
-	// ErrVerdictUnknown means that an edit may still take hold.
+	// ErrUnreachable means that no box sent a usable response.
+	ErrUnreachable = errors.New("no box responded")
+	// ErrRefused means that a box rejected the request.
+	ErrRefused = errors.New("request rejected")
+	// ErrVerdictUnknown means that an edit may still be applied.
 	ErrVerdictUnknown = errors.New("verdict unknown")
 )
 
 const maxReplyBytes = 256 << 20
 
-// Client calls the first of its boxes that answers.
+// Client sends requests to its boxes in order until one responds.
 type Client struct {
-	// URLs are the boxes' operators' listeners.
+	// URLs are the base URLs of the boxes' listeners for operators.
 	URLs []string
-	// Key is the operators' key.
+	// Key is the bearer key of the operators.
 	Key    string
 	Client *http.Client
 }
 
-// answer is a reply with its status.
-type answer struct {
+// response is an HTTP response with the URL of its box.
+type response struct {
 	status int
 	body   []byte
 	url    string
@@ -50,7 +50,7 @@
 	return get[operators.TableReply](ctx, c, "/v1/table")
 }
 
-// Rows returns the named rows of a sheet, those that there are; all without names.
+// Rows returns those of the named rows that exist in a sheet, or all rows if none are named.
 func (c Client) Rows(ctx context.Context, sheet string, rows ...string) (operators.Sheet, error) {
 	query := url.Values{"sheet": {sheet}, "row": rows}
 	reply, err := get[operators.TableReply](ctx, c, "/v1/table?"+query.Encode())
@@ -58,17 +58,17 @@
 		return operators.Sheet{}, err
 	}
 	if len(reply.Sheets) != 1 {
-		return operators.Sheet{}, fmt.Errorf("%w: reply holds %d sheets", ErrUnreachable, len(reply.Sheets))
+		return operators.Sheet{}, fmt.Errorf("%w: response contains %d sheets", ErrUnreachable, len(reply.Sheets))
 	}
 	return reply.Sheets[0], nil
 }
 
-// History returns the newest accepted edits, oldest first.
+// History returns the most recent accepted edits, oldest first.
 func (c Client) History(ctx context.Context) ([]table.HistoryEntry, error) {
 	return get[[]table.HistoryEntry](ctx, c, "/v1/table/history")
 }
 
-// Explain returns how a session's upstreams rank on a box now.
+// Explain returns the current ranking of a session's upstreams on a box.
 func (c Client) Explain(
 	ctx context.Context, organisation, session, model, service string,
 ) (operators.ExplainReply, error) {
@@ -76,116 +76,118 @@
 	return get[operators.ExplainReply](ctx, c, "/v1/explain?"+query.Encode())
 }
 
-// Statuses returns the status of every box of the client, or its error.
+// Statuses returns the status or the error of each of the client's boxes.
 func (c Client) Statuses(ctx context.Context) []BoxStatus {
 	statuses := make([]BoxStatus, 0, len(c.URLs))
 	for _, boxURL := range c.URLs {
-		one := Client{URLs: []string{boxURL}, Key: c.Key, Client: c.Client}
-		status, err := get[box.Status](ctx, one, "/v1/status")
+		single := Client{URLs: []string{boxURL}, Key: c.Key, Client: c.Client}
+		status, err := get[box.Status](ctx, single, "/v1/status")
 		statuses = append(statuses, BoxStatus{URL: boxURL, Status: status, Err: err})
 	}
 	return statuses
 }
 
-// BoxStatus is one box's status, or why there is none.
+// BoxStatus is the status of one box, or the error of the request for it.
 type BoxStatus struct {
 	URL    string
 	Status box.Status
 	Err    error
 }
 
-// Drain begins a planned stop of the client's first box.
+// Drain starts a graceful shutdown of the client's first box.
 func (c Client) Drain(ctx context.Context) error {
-	one := Client{URLs: c.URLs[:1], Key: c.Key, Client: c.Client}
-	_, err := one.call(ctx, http.MethodPost, "/v1/drain", nil)
+	single := Client{URLs: c.URLs[:1], Key: c.Key, Client: c.Client}
+	_, err := single.call(ctx, http.MethodPost, "/v1/drain", nil)
 	return err
 }
 
-// Submit hands in an edit and returns its verdict. ErrVerdictUnknown means that
-// it may still take hold: hand in the same edit again, or ask for the verdict.
+// Submit submits an edit and returns its verdict. ErrVerdictUnknown means that it may
+// still be applied: submit the same edit again, or query its verdict.
 func (c Client) Submit(ctx context.Context, edit table.Edit) (table.Verdict, error) {
 	body, err := json.Marshal(edit)
 	if err != nil {
 		return table.Verdict{}, fmt.Errorf("encode edit: %w", err)
 	}
-	a, err := c.call(ctx, http.MethodPost, "/v1/table/edits", body)
+	r, err := c.call(ctx, http.MethodPost, "/v1/table/edits", body)
 	if err != nil {
 		if errors.Is(err, ErrRefused) {
 			return table.Verdict{}, err
 		}
 		return table.Verdict{}, fmt.Errorf("%w: %w", ErrVerdictUnknown, err)
 	}
-	if a.status == http.StatusAccepted {
+	if r.status == http.StatusAccepted {
 		return table.Verdict{}, ErrVerdictUnknown
 	}
-	return decode[table.Verdict](a)
+	return decode[table.Verdict](r)
 }
 
 // Verdict returns the verdict on an edit by its id.
 func (c Client) Verdict(ctx context.Context, id string) (table.Verdict, error) {
-	a, err := c.call(ctx, http.MethodGet, "/v1/table/edits/"+url.PathEscape(id), nil)
+	r, err := c.call(ctx, http.MethodGet, "/v1/table/edits/"+url.PathEscape(id), nil)
 	if err != nil {
 		return table.Verdict{}, err
 	}
-	return decode[table.Verdict](a)
+	return decode[table.Verdict](r)
 }
 
-// WaitFor waits until the client's first box has the table at an offset.
+// WaitFor waits until the table of a box has reached an offset. Like other calls it tries the
+// next box only if one does not respond.
 func (c Client) WaitFor(ctx context.Context, offset int64) error {
 	_, err := c.call(ctx, http.MethodGet, "/v1/table/wait?offset="+strconv.FormatInt(offset, 10), nil)
 	return err
 }
 
 func get[T any](ctx context.Context, c Client, path string) (T, error) {
-	a, err := c.call(ctx, http.MethodGet, path, nil)
+	r, err := c.call(ctx, http.MethodGet, path, nil)
 	if err != nil {
-		var none T
-		return none, err
+		var zero T
+		return zero, err
 	}
-	return decode[T](a)
+	return decode[T](r)
 }
 
-func decode[T any](a answer) (T, error) {
+func decode[T any](r response) (T, error) {
 	var value T
-	if err := json.Unmarshal(a.body, &value); err != nil {
-		return value, fmt.Errorf("%w: %s: reply: %w", ErrUnreachable, a.url, err)
+	if err := json.Unmarshal(r.body, &value); err != nil {
+		return value, fmt.Errorf("%w: %s: decode response: %w", ErrUnreachable, r.url, err)
 	}
 	return value, nil
 }
 
-// call tries the boxes in order. Verdicts of conflict and invalid are answers.
-func (c Client) call(ctx context.Context, method, path string, body []byte) (answer, error) {
+// call sends a request to the boxes in order until one responds. The statuses of the verdicts
+// conflict and invalid are not errors.
+func (c Client) call(ctx context.Context, method, path string, body []byte) (response, error) {
 	failures := []error{}
 	for _, boxURL := range c.URLs {
-		a, err := c.callOne(ctx, method, boxURL, path, body)
+		r, err := c.callOne(ctx, method, boxURL, path, body)
 		if err == nil || errors.Is(err, ErrRefused) {
-			return a, err
+			return r, err
 		}
 		failures = append(failures, fmt.Errorf("%s: %w", boxURL, err))
 	}
-	return answer{}, fmt.Errorf("%w: %w", ErrUnreachable, errors.Join(failures...))
+	return response{}, fmt.Errorf("%w: %w", ErrUnreachable, errors.Join(failures...))
 }
 
-func (c Client) callOne(ctx context.Context, method, boxURL, path string, body []byte) (answer, error) {
+func (c Client) callOne(ctx context.Context, method, boxURL, path string, body []byte) (response, error) {
 	reply, err := jsonhttp.Call{
 		Client: c.Client, Method: method, URL: boxURL + path, Body: body, Limit: maxReplyBytes,
 		Header: http.Header{"Authorization": {"Bearer " + c.Key}},
 	}.Do(ctx)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	a := answer{status: reply.Status, body: reply.Body, url: boxURL}
-	verdict := a.status == http.StatusConflict || a.status == http.StatusUnprocessableEntity
-	if a.status < http.StatusMultipleChoices || verdict {
-		return a, nil
+	r := response{status: reply.Status, body: reply.Body, url: boxURL}
+	verdict := r.status == http.StatusConflict || r.status == http.StatusUnprocessableEntity
+	if r.status < http.StatusMultipleChoices || verdict {
+		return r, nil
 	}
-	return a, refusal(a)
+	return r, rejectionError(r)
 }
 
-func refusal(a answer) error {
+func rejectionError(r response) error {
 	var body apierror.Body
-	if err := json.Unmarshal(a.body, &body); err != nil || body.Error.Message == "" {
-		return fmt.Errorf("%w: status %d", ErrRefused, a.status)
+	if err := json.Unmarshal(r.body, &body); err != nil || body.Error.Message == "" {
+		return fmt.Errorf("%w: status %d", ErrRefused, r.status)
 	}
 	return fmt.Errorf("%w: %s", ErrRefused, body.Error.Message)
 }
