--- a/internal/cmd/daemon/daemon.go
+++ b/internal/cmd/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is the command line that all daemons share: one settings file, which
-// may be checked alone.
+// Package daemon is the command line shared by all daemons. It loads one settings file, and
+// can validate it without running the daemon.
 package daemon
 
 import (
@@ -12,15 +12,15 @@
 	"dooryard.example/dooryard/internal/version"
 )
 
-// Daemon is a program that runs by a settings file of type T.
+// Daemon is a program that is configured by a settings file of type T.
 type Daemon[T any] struct {
 	Name  string
 	Usage string
-	// EnvSettings is the environment variable that may name the settings file.
+	// EnvSettings is the environment variable for the path of the settings file.
 	EnvSettings string
-	// Load reads and checks a settings file.
+	// Load reads and validates a settings file.
 	Load func(path string) (T, error)
-	// Run runs until the context ends.
+	// Run runs the daemon until the context ends.
 	Run func(ctx context.Context, path string, settings T) error
 }
 
@@ -38,11 +38,11 @@
 			},
 			&cli.BoolFlag{Name: "check", Usage: "check the settings file and exit"},
 		},
-		Action: d.act,
+		Action: d.run,
 	}
 }
 
-func (d Daemon[T]) act(ctx context.Context, c *cli.Command) error {
+func (d Daemon[T]) run(ctx context.Context, c *cli.Command) error {
 	path := c.String("settings")
 	if path == "" {
 		return fmt.Errorf("%w: --settings: is missing", exit.ErrUsage)
--- a/internal/cmd/daemon/daemon_test.go
+++ b/internal/cmd/daemon/daemon_test.go
@@ -13,8 +13,8 @@
 
 var errInvalid = errors.New("invalid settings")
 
-// run runs a daemon whose settings are the path of their file, and returns those that
-// it ran by.
+// run runs a daemon whose settings are the path of their file. It returns the settings that
+// the daemon ran with.
 func run(t *testing.T, arguments ...string) (ran []string, err error) {
 	t.Helper()
 	d := Daemon[string]{
@@ -36,28 +36,28 @@
 }
 
 func TestDaemon(t *testing.T) {
-	t.Run("runs by its settings file", func(t *testing.T) {
+	t.Run("runs with its settings file", func(t *testing.T) {
 		ran, err := run(t, "--settings", "good")
 		require.NoError(t, err)
 		assert.Equal(t, []string{"good"}, ran)
 	})
-	t.Run("takes the file's path from the environment", func(t *testing.T) {
+	t.Run("reads the file's path from the environment", func(t *testing.T) {
 		t.Setenv("DOORYARD_TEST_SETTINGS", "good")
 		ran, err := run(t)
 		require.NoError(t, err)
 		assert.Equal(t, []string{"good"}, ran)
 	})
-	t.Run("only checks when asked to", func(t *testing.T) {
+	t.Run("does not run with --check", func(t *testing.T) {
 		ran, err := run(t, "--settings", "good", "--check")
 		require.NoError(t, err)
 		assert.Empty(t, ran)
 	})
-	t.Run("does not run by settings that can't be used", func(t *testing.T) {
+	t.Run("does not run with invalid settings", func(t *testing.T) {
 		ran, err := run(t, "--settings", "bad")
 		require.ErrorIs(t, err, errInvalid)
 		assert.Empty(t, ran)
 	})
-	t.Run("wants a settings file", func(t *testing.T) {
+	t.Run("requires a settings file", func(t *testing.T) {
 		_, err := run(t)
 		require.ErrorIs(t, err, exit.ErrUsage)
 	})
--- a/internal/cmd/exit/exit.go
+++ b/internal/cmd/exit/exit.go
@@ -1,5 +1,5 @@
-// Package exit runs a command as a program's main: signals, errors and the exit
-// code.
+// Package exit runs a command as a program's main function: it handles signals, prints
+// errors and sets the exit code.
 package exit
 
 import (
@@ -17,16 +17,17 @@
 
 // Exit codes.
 const (
-	codeFailed = 1
-	// codeUsage tells of settings or arguments that can't be used.
+	codeError = 1
+	// codeUsage is returned for invalid settings or arguments.
 	codeUsage = 2
 )
 
-// ErrUsage marks errors in what the user wrote.
+// ErrUsage is wrapped by errors that are caused by invalid user input.
 var ErrUsage = errors.New("usage")
 
-// Main runs the command until it ends. The first interrupt or termination
-// signal ends its context; a second one ends the process at once.
+// Main runs the command. If it fails, Main prints the error and exits with its code. The
+// first interrupt or termination signal cancels the command's context; a second one
+// terminates the process immediately.
 func Main(command *cli.Command) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	context.AfterFunc(ctx, stop)
@@ -47,5 +48,5 @@
 	if errors.As(err, &coder) {
 		return coder.ExitCode()
 	}
-	return codeFailed
+	return codeError
 }
--- a/internal/cmd/gatewaycmd/gatewaycmd.go
+++ b/internal/cmd/gatewaycmd/gatewaycmd.go
@@ -17,7 +17,7 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// New returns the command. Log lines go to out.
+// New returns the command. It writes log lines to out.
 func New(out io.Writer, adapter gateway.Adapter) *cli.Command {
 	return daemon.Daemon[config.Gateway]{
 		Name:        "dooryard-gateway",
@@ -38,20 +38,20 @@
 	if err != nil {
 		return err
 	}
-	hangUp := make(chan os.Signal, 1)
-	signal.Notify(hangUp, syscall.SIGHUP)
-	defer signal.Stop(hangUp)
-	go w.run(ctx, b, hangUp)
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
+	defer signal.Stop(sighup)
+	go w.run(ctx, b, sighup)
 	return b.Run(ctx)
 }
 
 const (
 	mebibyte = 1 << 20
-	// memoryShare of the box's memory is where the garbage collector works
-	// harder; the rest is for what it does not see.
+	// memoryShare is the part of the box's memory above which the garbage collector works
+	// harder. The rest is reserved for memory that it does not track.
 	memoryShare = 0.7
-	// gcPercent keeps the resident size small: a box's memory costs more than
-	// the processor time of a few more collections.
+	// gcPercent keeps the resident set small: a box's memory costs more than
+	// the CPU time of a few more collections.
 	gcPercent = 25
 )
 
--- a/internal/cmd/gatewaycmd/watcher.go
+++ b/internal/cmd/gatewaycmd/watcher.go
@@ -10,22 +10,21 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// watchMs is how often the settings file is looked at when no signal tells of a
-// change.
-const watchMs = 2 * clock.Second
+// pollInterval is how often the settings file is checked for changes without a signal.
+const pollInterval = 2 * clock.Second
 
-// watcher takes a changed settings file into force.
+// watcher applies changes of the settings file to a running box.
 type watcher struct {
 	path    string
 	clock   clock.Clock
 	content []byte
 }
 
-func (w *watcher) run(ctx context.Context, b *gateway.Box, hangUp <-chan os.Signal) {
-	// The first read can only fail if the file went since the start.
+func (w *watcher) run(ctx context.Context, b *gateway.Box, sighup <-chan os.Signal) {
+	// The first read can only fail if the file was removed after startup.
 	w.content, _ = os.ReadFile(w.path)
 	ticks := make(chan struct{})
-	go w.clock.Every(ctx, watchMs, func(clock.Millis) {
+	go w.clock.Every(ctx, pollInterval, func(clock.Millis) {
 		select {
 		case ticks <- struct{}{}:
 		case <-ctx.Done():
@@ -35,16 +34,16 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangUp:
+		case <-sighup:
 		case <-ticks:
 		}
-		w.look(b)
+		w.reload(b)
 	}
 }
 
-// look reads the file and hands over what changed. A file that can't be used
-// leaves the old settings in force.
-func (w *watcher) look(b *gateway.Box) {
+// reload reads the file and applies changed settings. If the file is unusable, the old
+// settings stay active.
+func (w *watcher) reload(b *gateway.Box) {
 	content, err := os.ReadFile(w.path)
 	if err != nil {
 		b.Ignored("settings file", err)
--- a/internal/cmd/gatewaycmd/watcher_test.go
+++ b/internal/cmd/gatewaycmd/watcher_test.go
@@ -16,7 +16,7 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-const file = `box: a-1
+const settingsFile = `box: a-1
 failure_domain: a
 callers_address: 127.0.0.1:1
 readiness_address: 127.0.0.1:2
@@ -39,25 +39,25 @@
 	return b
 }
 
-func TestLook(t *testing.T) {
+func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(content string) { require.NoError(t, os.WriteFile(path, []byte(content), 0o600)) }
-	write(file)
+	write(settingsFile)
 	b := newBox(t, path, &strings.Builder{})
-	w := &watcher{path: path, clock: clock.New(), content: []byte(file)}
-	t.Run("takes a changed file into force", func(t *testing.T) {
-		write(strings.Replace(file, "5000", "7000", 1))
-		w.look(b)
+	w := &watcher{path: path, clock: clock.New(), content: []byte(settingsFile)}
+	t.Run("applies a changed file", func(t *testing.T) {
+		write(strings.Replace(settingsFile, "5000", "7000", 1))
+		w.reload(b)
 		assert.Equal(t, int64(7000), b.Settings().Freshness.MaxAgeMs)
 	})
-	t.Run("leaves the old settings in force when the file can't be used", func(t *testing.T) {
+	t.Run("keeps the old settings if the file is invalid", func(t *testing.T) {
 		write("box: [\n")
-		w.look(b)
+		w.reload(b)
 		assert.Equal(t, int64(7000), b.Settings().Freshness.MaxAgeMs)
 	})
-	t.Run("leaves them when the file is gone", func(t *testing.T) {
+	t.Run("keeps the old settings if the file was removed", func(t *testing.T) {
 		require.NoError(t, os.Remove(path))
-		w.look(b)
+		w.reload(b)
 		assert.Equal(t, int64(7000), b.Settings().Freshness.MaxAgeMs)
 	})
 }
@@ -68,15 +68,15 @@
 		return command.Run(t.Context(), append([]string{"dooryard-gateway"}, arguments...))
 	}
 	path := filepath.Join(t.TempDir(), "settings.yaml")
-	require.NoError(t, os.WriteFile(path, []byte(file), 0o600))
-	t.Run("checks a file and exits", func(t *testing.T) {
+	require.NoError(t, os.WriteFile(path, []byte(settingsFile), 0o600))
+	t.Run("validates a file and exits", func(t *testing.T) {
 		require.NoError(t, run("--settings", path, "--check"))
 	})
-	t.Run("names the key of a wrong value", func(t *testing.T) {
-		require.NoError(t, os.WriteFile(path, []byte(file+"balance: {panic_percent: 900}\n"), 0o600))
+	t.Run("names the key of an invalid value", func(t *testing.T) {
+		require.NoError(t, os.WriteFile(path, []byte(settingsFile+"balance: {panic_percent: 900}\n"), 0o600))
 		require.ErrorContains(t, run("--settings", path, "--check"), "balance.panic_percent")
 	})
-	t.Run("needs a settings file", func(t *testing.T) {
+	t.Run("requires a settings file", func(t *testing.T) {
 		require.ErrorContains(t, run(), "--settings")
 	})
 }
--- a/internal/cmd/loadcmd/experiment.go
+++ b/internal/cmd/loadcmd/experiment.go
@@ -16,14 +16,14 @@
 func experimentCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "experiment",
-		Usage: "switch mechanisms of the gateway off one at a time, in seeded pairs of simulated days",
+		Usage: "measure the effect of disabling the gateway's mechanisms one at a time, in seeded pairs of simulated days",
 		Flags: []cli.Flag{
 			jsonFlag(),
-			&cli.StringFlag{Name: "off", Usage: "mechanisms to switch off, separated by commas; all if empty"},
-			&cli.StringFlag{Name: "faults", Value: "crash,cut,errors", Usage: "what strikes: crash, cut, errors"},
+			&cli.StringFlag{Name: "off", Usage: "mechanisms to disable, separated by commas; all if empty"},
+			&cli.StringFlag{Name: "faults", Value: "crash,cut,errors", Usage: "faults to inject: crash, cut, errors"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the first day"},
-			&cli.IntFlag{Name: "seeds", Value: 5, Usage: "days to play, each with the next seed"},
-			&cli.StringFlag{Name: "svg", Usage: "file to draw the differences of requests in time in"},
+			&cli.IntFlag{Name: "seeds", Value: 5, Usage: "number of days to simulate, each with the next seed"},
+			&cli.StringFlag{Name: "svg", Usage: "output file for an SVG chart of the change in requests in time"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			report, err := runExperiment(c)
@@ -31,7 +31,7 @@
 				return err
 			}
 			if file := c.String("svg"); file != "" {
-				if err := drawExperiment(file, report); err != nil {
+				if err := writeChart(file, report); err != nil {
 					return err
 				}
 			}
@@ -64,20 +64,20 @@
 
 func printExperiment(out io.Writer, r experiment.Report) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "switched off\tin time\tserved\tread again\tmoved\tattempts")
+	fmt.Fprintln(w, "disabled\tin time\tserved\tread again\tmoved\tattempts")
 	b := r.Baseline
 	fmt.Fprintf(w, "(nothing)\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\n", b.InTime, b.Served, b.ReadAgain, b.Moved, b.Attempts)
 	for _, o := range r.Outcomes {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", o.Off,
-			difference(o.InTime), difference(o.Served), difference(o.ReadAgain), difference(o.Moved), difference(o.Attempts))
+			formatDiff(o.InTime), formatDiff(o.Served), formatDiff(o.ReadAgain), formatDiff(o.Moved), formatDiff(o.Attempts))
 	}
 	return w.Flush()
 }
 
-func difference(d experiment.Difference) string { return fmt.Sprintf("%+.4f (%.4f)", d.Mean, d.Error) }
+func formatDiff(d experiment.Difference) string { return fmt.Sprintf("%+.4f (%.4f)", d.Mean, d.Error) }
 
-func drawExperiment(name string, r experiment.Report) error {
-	file, err := os.Create(name) //nolint:gosec // The file that the caller named.
+func writeChart(name string, r experiment.Report) error {
+	file, err := os.Create(name) //nolint:gosec // The path is an argument of the user.
 	if err != nil {
 		return fmt.Errorf("--svg: %w", err)
 	}
@@ -85,7 +85,7 @@
 	for _, o := range r.Outcomes {
 		bars = append(bars, chart.Bar{Name: string(o.Off), Value: o.InTime.Mean, Error: o.InTime.Error})
 	}
-	if err := chart.Bars(file, "Requests in time, with one mechanism switched off", "difference", bars); err != nil {
+	if err := chart.Bars(file, "Requests in time, with one mechanism disabled", "difference", bars); err != nil {
 		_ = file.Close()
 		return err
 	}
--- a/internal/cmd/loadcmd/experiment_test.go
+++ b/internal/cmd/loadcmd/experiment_test.go
@@ -19,7 +19,7 @@
 		err := New(&out, &out).Run(t.Context(), append([]string{"dooryard-load", "experiment", "--seeds", "1"}, args...))
 		return out.String(), err
 	}
-	t.Run("prints a report and draws it", func(t *testing.T) {
+	t.Run("prints a report and writes a chart", func(t *testing.T) {
 		file := filepath.Join(t.TempDir(), "x.svg")
 		out, err := run("--off", "fetch", "--faults", "crash", "--json", "--svg", file)
 		require.NoError(t, err)
@@ -30,7 +30,7 @@
 		require.NoError(t, err)
 		assert.Contains(t, string(drawn), "fetch")
 	})
-	t.Run("names the flag that is wrong", func(t *testing.T) {
+	t.Run("names the invalid flag", func(t *testing.T) {
 		_, err := run("--off", "luck")
 		require.ErrorIs(t, err, experiment.ErrUnknown)
 		assert.ErrorContains(t, err, "--off")
--- a/internal/cmd/loadcmd/loadcmd.go
+++ b/internal/cmd/loadcmd/loadcmd.go
@@ -12,15 +12,14 @@
 	"dooryard.example/dooryard/internal/version"
 )
 
-// ErrPromiseBroken means that a run showed a broken promise.
-var ErrPromiseBroken = errors.New("a promise was broken")
+// ErrGuaranteeViolated means that a run violated a guarantee of the fleet.
+var ErrGuaranteeViolated = errors.New("a guarantee was violated")
 
-// New returns the command; its tables go to out, its progress to
-// progress.
+// New returns the command. It prints results to out and progress messages to progress.
 func New(out, progress io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:                  "dooryard-load",
-		Usage:                 "send returning chats and unrepeatable calls to a fleet and check every answer",
+		Usage:                 "send multi-turn chats and non-idempotent calls to a fleet and check every response",
 		Version:               version.String(),
 		EnableShellCompletion: true,
 		Commands: []*cli.Command{
@@ -33,14 +32,14 @@
 func demoCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "start a small fleet in this process, break parts of it, and check the promises",
+		Usage: "start a small fleet in this process, inject faults, and check the fleet's guarantees",
 		Action: func(ctx context.Context, _ *cli.Command) error {
 			breaches, err := load.Demo(ctx, out)
 			if err != nil {
 				return err
 			}
 			if len(breaches) > 0 {
-				return ErrPromiseBroken
+				return ErrGuaranteeViolated
 			}
 			return nil
 		},
--- a/internal/cmd/loadcmd/measure.go
+++ b/internal/cmd/loadcmd/measure.go
@@ -30,11 +30,11 @@
 func policiesCommand(out, progress io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "policies",
-		Usage: "compare routing policies by reuse and skew in seeded runs",
+		Usage: "compare routing policies by cache reuse and load skew in seeded runs",
 		Flags: []cli.Flag{
 			jsonFlag(),
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of all runs"},
-			&cli.BoolFlag{Name: "small", Usage: "leave out the runs of 90 boxes, which take a minute"},
+			&cli.BoolFlag{Name: "small", Usage: "skip the runs with 90 boxes, which take a minute"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			results := []routebench.Result{}
@@ -77,7 +77,7 @@
 	return w.Flush()
 }
 
-// capacityReport is what the capacity command prints.
+// capacityReport is the output of the capacity command.
 type capacityReport struct {
 	Slopes []capacity.Slope `json:"slopes"`
 	Roles  []capacity.Role  `json:"roles"`
@@ -87,7 +87,7 @@
 func capacityCommand(out, progress io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "capacity",
-		Usage: "measure what control costs against sizes and work out a node's budget at the target size",
+		Usage: "measure how control-plane costs grow with fleet size and compute a node's costs at the target size",
 		Flags: []cli.Flag{jsonFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			slopes := capacity.Measure(func(name string) { fmt.Fprintln(progress, name) })
--- a/internal/cmd/operatorcmd/check.go
+++ b/internal/cmd/operatorcmd/check.go
@@ -17,16 +17,16 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-func (p *program) checkCommand() *cli.Command {
+func (p *app) checkCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "check",
-		Usage:     "check a settings file of a box, or a table file (.yaml, or .csv with --sheet)",
+		Usage:     "validate a settings file of a box, or a table file (.yaml, or .csv with --sheet)",
 		ArgsUsage: "FILE",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "sheet", Usage: "the sheet that a CSV file holds"},
+			&cli.StringFlag{Name: "sheet", Usage: "sheet that a CSV file contains"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			path, err := oneArgument(c, "FILE")
+			path, err := singleArgument(c, "FILE")
 			if err != nil {
 				return err
 			}
@@ -34,13 +34,13 @@
 			if err != nil {
 				return errors.Join(exit.ErrUsage, err)
 			}
-			fmt.Fprintf(p.out, "%s: %s is fine\n", path, kind)
+			fmt.Fprintf(p.out, "%s: %s is valid\n", path, kind)
 			return nil
 		},
 	}
 }
 
-// checkFile tells what kind of file it is, and what is wrong with it.
+// checkFile validates a file and returns its kind.
 func checkFile(path, sheet string) (kind string, err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -62,7 +62,8 @@
 	return "settings", err
 }
 
-// isGateway tells a gateway's settings by a key that a router's don't have.
+// isGateway reports whether a file has the settings of a gateway, by a key that the settings of
+// a router don't have.
 func isGateway(data []byte) bool {
 	return bytes.HasPrefix(data, []byte("callers_address:")) || bytes.Contains(data, []byte("\ncallers_address:"))
 }
@@ -75,7 +76,8 @@
 	return tablefile.DecodeCSV(path, sheet, data)
 }
 
-// isTable tells a table file by its sheets, whose names are no settings.
+// isTable reports whether a file is a table, by the names of its sheets, which are not keys of
+// any settings file.
 func isTable(data []byte) bool {
 	for line := range bytes.Lines(data) {
 		name, _, found := strings.Cut(string(line), ":")
--- a/internal/cmd/operatorcmd/errors_test.go
+++ b/internal/cmd/operatorcmd/errors_test.go
@@ -14,7 +14,7 @@
 	"dooryard.example/dooryard/internal/cmd/operatorcmd"
 )
 
-// dooryard runs the client with arguments and returns its error.
+// dooryard runs the client with the given arguments and returns its error.
 func dooryard(t *testing.T, arguments ...string) error {
 	t.Helper()
 	command := operatorcmd.New(strings.NewReader(""), &bytes.Buffer{})
@@ -34,16 +34,16 @@
 		arguments []string
 		want      string
 	}{
-		"no box":              {[]string{"status"}, "--box: name at least one box"},
-		"no key file":         {[]string{"--box", "127.0.0.1:1", "status"}, "--key-file: is missing"},
-		"wrong settings":      {[]string{"check", write("box.yaml", "box: b\nfailure_domain: x\ncalers: {}\n")}, "box.yaml:3: calers"},
-		"wrong table":         {[]string{"check", write("table.yaml", "models:\n  m:\n    deadline_ms: x\n")}, "table.yaml:3"},
-		"sheet without name":  {[]string{"check", write("t.csv", "row\n")}, "--sheet: name the sheet"},
-		"wrong value":         {append(remote, "table", "set", "models/m/deadline_ms=x"), `"x" is not a whole number`},
-		"no value":            {append(remote, "table", "set", "models/m"), "must be SHEET/ROW/COLUMN=VALUE"},
+		"missing box":         {[]string{"status"}, "--box: name at least one box"},
+		"missing key file":    {[]string{"--box", "127.0.0.1:1", "status"}, "--key-file: is missing"},
+		"invalid settings":    {[]string{"check", write("box.yaml", "box: b\nfailure_domain: x\ncalers: {}\n")}, "box.yaml:3: calers"},
+		"invalid table":       {[]string{"check", write("table.yaml", "models:\n  m:\n    deadline_ms: x\n")}, "table.yaml:3"},
+		"missing sheet name":  {[]string{"check", write("t.csv", "row\n")}, "--sheet: name the sheet"},
+		"invalid value":       {append(remote, "table", "set", "models/m/deadline_ms=x"), `"x" is not a whole number`},
+		"missing value":       {append(remote, "table", "set", "models/m"), "must be SHEET/ROW/COLUMN=VALUE"},
 		"unknown sheet":       {append(remote, "table", "get", "modles"), `sheet "modles": unknown`},
-		"model and service":   {append(remote, "explain", "--organisation", "o", "--session", "s"), "either --model or --service"},
-		"an argument missing": {append(remote, "upstream", "drain"), "needs one argument"},
+		"no model or service": {append(remote, "explain", "--organisation", "o", "--session", "s"), "either --model or --service"},
+		"missing argument":    {append(remote, "upstream", "drain"), "needs one argument"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := dooryard(t, c.arguments...)
@@ -51,7 +51,7 @@
 			assert.Contains(t, err.Error(), c.want)
 		})
 	}
-	t.Run("no box that answers is no usage error", func(t *testing.T) {
+	t.Run("an unreachable box is not a usage error", func(t *testing.T) {
 		err := dooryard(t, append(remote, "table", "get", "models")...)
 		require.Error(t, err)
 		assert.NotErrorIs(t, err, exit.ErrUsage)
--- a/internal/cmd/operatorcmd/fleet.go
+++ b/internal/cmd/operatorcmd/fleet.go
@@ -17,24 +17,24 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-func (p *program) statusCommand() *cli.Command {
+func (p *app) statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show the boxes, the offsets of the table in force, and the log's health",
+		Usage: "show the boxes, their active table offsets, and the state of the log",
 		Flags: []cli.Flag{
 			&cli.BoolFlag{Name: flagJSON, Usage: "print JSON"},
 			&cli.IntFlag{Name: "wait", Usage: "wait up to this many seconds until all boxes are ready"},
-			&cli.BoolFlag{Name: "reachable", Usage: "be content with boxes that answer, though not ready"},
+			&cli.BoolFlag{Name: "reachable", Usage: "accept boxes that respond but are not ready"},
 		},
-		Action: p.action(p.status),
+		Action: p.withClient(p.status),
 	}
 }
 
-// errUnhealthy makes an exit code of a box that does not answer or is not ready.
+// errUnhealthy sets the exit code if a box does not respond or is not ready.
 var errUnhealthy = errors.New("not all boxes are ready")
 
-func (p *program) status(ctx context.Context, c *cli.Command, client opclient.Client) error {
-	statuses := p.await(ctx, client, clock.Millis(c.Int("wait"))*clock.Second, c.Bool("reachable"))
+func (p *app) status(ctx context.Context, c *cli.Command, client opclient.Client) error {
+	statuses := p.pollStatuses(ctx, client, clock.Millis(c.Int("wait"))*clock.Second, c.Bool("reachable"))
 	if c.Bool(flagJSON) {
 		return p.statusJSON(statuses)
 	}
@@ -55,42 +55,42 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	p.printFleet(statuses)
+	p.printPeers(statuses)
 	if !healthy {
 		return errUnhealthy
 	}
 	return nil
 }
 
-// await asks the boxes again until all are ready, or answer at all, or the span
-// has passed.
-func (p *program) await(
+// pollStatuses polls the boxes until all are ready, or only reachable if that is enough, or
+// until the span has elapsed.
+func (p *app) pollStatuses(
 	ctx context.Context, client opclient.Client, span clock.Millis, reachable bool,
 ) []opclient.BoxStatus {
 	const pollMs = 200
 	for waited := clock.Millis(0); ; waited += pollMs {
 		statuses := client.Statuses(ctx)
-		if waited >= span || allFine(statuses, reachable) || p.clock.Sleep(ctx, pollMs) != nil {
+		if waited >= span || allHealthy(statuses, reachable) || p.clock.Sleep(ctx, pollMs) != nil {
 			return statuses
 		}
 	}
 }
 
-func allFine(statuses []opclient.BoxStatus, reachable bool) bool {
+func allHealthy(statuses []opclient.BoxStatus, reachable bool) bool {
 	return !slices.ContainsFunc(statuses, func(s opclient.BoxStatus) bool {
 		return s.Err != nil || !s.Status.Ready && !reachable
 	})
 }
 
-// printFleet prints what the boxes say of others.
-func (p *program) printFleet(statuses []opclient.BoxStatus) {
+// printPeers prints what the boxes report about their peers and upstreams.
+func (p *app) printPeers(statuses []opclient.BoxStatus) {
 	peers := map[string]box.PeerStatus{}
 	for _, s := range statuses {
 		for _, peer := range s.Status.Peers {
 			peers[peer.Name] = peer
 		}
 		if lowest := s.Status.Lowest; lowest.Box != "" {
-			fmt.Fprintf(p.out, "%s sees the lowest table offset of its failure domain, %d, at %s\n",
+			fmt.Fprintf(p.out, "%s reports the lowest table offset in its failure domain, %d, at %s\n",
 				s.Status.Box, lowest.TableOffset, lowest.Box)
 		}
 	}
@@ -103,25 +103,26 @@
 		fmt.Fprintf(p.out, "  %s: %s, table offset %d\n", name, peers[name].Status, peers[name].TableOffset)
 	}
 	for _, s := range statuses {
-		p.printWork(s.Status)
+		p.printOrdersAndUpstreams(s.Status)
 	}
 }
 
-// printWork prints the orders that a box gives and the upstreams it leaves out.
-func (p *program) printWork(status box.Status) {
+// printOrdersAndUpstreams prints a box's lease for giving orders, and the upstreams to which it
+// sends no new requests.
+func (p *app) printOrdersAndUpstreams(status box.Status) {
 	if orders := status.Orders; orders != nil {
-		fmt.Fprintf(p.out, "  %s gives the orders of %s, token %d, for %d ms more\n",
+		fmt.Fprintf(p.out, "  %s holds the lease for orders in %s, fencing token %d, for another %d ms\n",
 			status.Box, status.FailureDomain, orders.Token, orders.UntilMs-status.NowMs)
 	}
 	for _, u := range status.Upstreams {
 		if u.Ejected || u.Leaving {
-			fmt.Fprintf(p.out, "  %s sees upstream %s: ejected %t, leaving %t, in flight %d\n",
+			fmt.Fprintf(p.out, "  %s reports upstream %s: ejected %t, leaving %t, in flight %d\n",
 				status.Box, u.Name, u.Ejected, u.Leaving, u.InFlight)
 		}
 	}
 }
 
-func (p *program) statusJSON(statuses []opclient.BoxStatus) error {
+func (p *app) statusJSON(statuses []opclient.BoxStatus) error {
 	type entry struct {
 		URL    string      `json:"url"`
 		Error  string      `json:"error,omitempty"`
@@ -145,17 +146,17 @@
 	return nil
 }
 
-func (p *program) explainCommand() *cli.Command {
+func (p *app) explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "explain",
-		Usage: "show where a session would go now on a box, ranked, with the reasons",
+		Usage: "show the current ranking of a session's upstreams on a box, with reasons",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "organisation", Required: true, Usage: "the organisation's name"},
-			&cli.StringFlag{Name: "session", Required: true, Usage: "the session's name"},
-			&cli.StringFlag{Name: "model", Usage: "the model"},
-			&cli.StringFlag{Name: "service", Usage: "the plain service"},
+			&cli.StringFlag{Name: "organisation", Required: true, Usage: "name of the organisation"},
+			&cli.StringFlag{Name: "session", Required: true, Usage: "name of the session"},
+			&cli.StringFlag{Name: "model", Usage: "name of the model"},
+			&cli.StringFlag{Name: "service", Usage: "name of the plain service"},
 		},
-		Action: p.action(func(ctx context.Context, c *cli.Command, client opclient.Client) error {
+		Action: p.withClient(func(ctx context.Context, c *cli.Command, client opclient.Client) error {
 			if (c.String("model") == "") == (c.String("service") == "") {
 				return fmt.Errorf("%w: name either --model or --service", exit.ErrUsage)
 			}
@@ -175,28 +176,28 @@
 	}
 }
 
-func (p *program) boxCommand() *cli.Command {
+func (p *app) boxCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "box",
-		Usage: "look after boxes",
+		Usage: "manage boxes",
 		Commands: []*cli.Command{{
 			Name:  "drain",
-			Usage: "begin a planned stop of the box that --box names first",
-			Action: p.action(func(ctx context.Context, _ *cli.Command, client opclient.Client) error {
+			Usage: "start a graceful shutdown of the first box given by --box",
+			Action: p.withClient(func(ctx context.Context, _ *cli.Command, client opclient.Client) error {
 				if err := client.Drain(ctx); err != nil {
 					return err
 				}
-				fmt.Fprintf(p.out, "%s: its planned stop has begun\n", client.URLs[0])
+				fmt.Fprintf(p.out, "%s: graceful shutdown started\n", client.URLs[0])
 				return nil
 			}),
 		}},
 	}
 }
 
-func (p *program) upstreamCommand() *cli.Command {
+func (p *app) upstreamCommand() *cli.Command {
 	set := func(state string) cli.ActionFunc {
-		return p.action(func(ctx context.Context, c *cli.Command, client opclient.Client) error {
-			name, err := oneArgument(c, "UPSTREAM")
+		return p.withClient(func(ctx context.Context, c *cli.Command, client opclient.Client) error {
+			name, err := singleArgument(c, "UPSTREAM")
 			if err != nil {
 				return err
 			}
@@ -205,32 +206,32 @@
 	}
 	return &cli.Command{
 		Name:  "upstream",
-		Usage: "look after upstreams",
+		Usage: "manage upstreams",
 		Commands: []*cli.Command{
 			{
-				Name: "drain", Usage: "give an upstream no new work", ArgsUsage: "UPSTREAM",
+				Name: "drain", Usage: "stop sending new requests to an upstream", ArgsUsage: "UPSTREAM",
 				Action: set(table.StateDraining),
 			},
 			{
-				Name: "activate", Usage: "give an upstream work again", ArgsUsage: "UPSTREAM",
+				Name: "activate", Usage: "resume sending requests to an upstream", ArgsUsage: "UPSTREAM",
 				Action: set(table.StateActive),
 			},
 		},
 	}
 }
 
-func (p *program) setUpstreamState(
+func (p *app) setUpstreamState(
 	ctx context.Context, c *cli.Command, client opclient.Client, name, state string,
 ) error {
 	sheet, err := client.Rows(ctx, table.Upstreams, name)
 	if err != nil {
 		return err
 	}
-	if _, found := newestOf(sheet, name); !found {
+	if _, found := latestRevision(sheet, name); !found {
 		return fmt.Errorf("%w: upstream %q: not in the table", exit.ErrUsage, name)
 	}
 	changes := []table.Change{{Sheet: table.Upstreams, Row: name, Column: "state", Value: state}}
-	if err := baseOnCurrent(ctx, client, changes); err != nil {
+	if err := setBaseRevisions(ctx, client, changes); err != nil {
 		return err
 	}
 	return p.submit(ctx, c, client, changes)
--- a/internal/cmd/operatorcmd/operatorcmd.go
+++ b/internal/cmd/operatorcmd/operatorcmd.go
@@ -28,8 +28,8 @@
 	callTimeout  = 30 * clock.Second
 )
 
-// Program is the command line and where it reads and writes.
-type program struct {
+// app is the command line client with its input, output and dependencies.
+type app struct {
 	in     io.Reader
 	out    io.Writer
 	client *http.Client
@@ -38,10 +38,10 @@
 
 // New returns the command.
 func New(in io.Reader, out io.Writer) *cli.Command {
-	p := &program{in: in, out: out, client: &http.Client{Timeout: callTimeout.Duration()}, clock: clock.New()}
+	p := &app{in: in, out: out, client: &http.Client{Timeout: callTimeout.Duration()}, clock: clock.New()}
 	return &cli.Command{
 		Name:                  "dooryard",
-		Usage:                 "show and edit the table, and look after the boxes of a fleet",
+		Usage:                 "show and edit the table, and manage the boxes of a fleet",
 		Version:               version.String(),
 		EnableShellCompletion: true,
 		Reader:                in,
@@ -49,11 +49,11 @@
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{
 				Name: flagBox, Aliases: []string{"b"}, Sources: cli.EnvVars("DOORYARD_BOXES"),
-				Usage: "operators' address of a box, an IP number and port or a URL; repeat or separate by commas",
+				Usage: "operators' address of a box, an IP address and port or a URL; repeatable or comma-separated",
 			},
 			&cli.StringFlag{
 				Name: flagKeyFile, Aliases: []string{"k"}, Sources: cli.EnvVars("DOORYARD_KEY_FILE"),
-				Usage: "file with the operators' key",
+				Usage: "file with the bearer key of the operators",
 			},
 		},
 		Commands: []*cli.Command{
@@ -69,8 +69,8 @@
 	}
 }
 
-// remote returns the client that the flags ask for.
-func (p *program) remote(c *cli.Command) (opclient.Client, error) {
+// newClient returns a client configured by the flags.
+func (p *app) newClient(c *cli.Command) (opclient.Client, error) {
 	boxes := c.StringSlice(flagBox)
 	if len(boxes) == 0 {
 		return opclient.Client{}, fmt.Errorf("%w: --box: name at least one box", exit.ErrUsage)
@@ -85,7 +85,7 @@
 	}
 	keys := strings.Fields(string(data))
 	if len(keys) == 0 {
-		return opclient.Client{}, fmt.Errorf("%w: --key-file: holds no key", exit.ErrUsage)
+		return opclient.Client{}, fmt.Errorf("%w: --key-file: contains no key", exit.ErrUsage)
 	}
 	client := opclient.Client{Key: keys[0], Client: p.client}
 	for _, box := range boxes {
@@ -97,24 +97,24 @@
 	return client, nil
 }
 
-// action wraps an action that calls boxes.
-func (p *program) action(do func(ctx context.Context, c *cli.Command, client opclient.Client) error) cli.ActionFunc {
+// withClient returns an action that calls a function with a client of the boxes.
+func (p *app) withClient(call func(ctx context.Context, c *cli.Command, client opclient.Client) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
-		client, err := p.remote(c)
+		client, err := p.newClient(c)
 		if err != nil {
 			return err
 		}
-		return do(ctx, c, client)
+		return call(ctx, c, client)
 	}
 }
 
-// oneArgument returns the only argument of a command.
-func oneArgument(c *cli.Command, name string) (string, error) {
+// singleArgument returns the only argument of a command.
+func singleArgument(c *cli.Command, name string) (string, error) {
 	if c.Args().Len() != 1 || c.Args().First() == "" {
 		return "", fmt.Errorf("%w: %s: needs one argument, %s", exit.ErrUsage, c.Name, name)
 	}
 	return c.Args().First(), nil
 }
 
-// errRefused makes an exit code of an edit that was not accepted.
-var errRefused = errors.New("the edit was not accepted")
+// errRejected sets the exit code if an edit was not accepted.
+var errRejected = errors.New("the edit was not accepted")
--- a/internal/cmd/operatorcmd/runbook_test.go
+++ b/internal/cmd/operatorcmd/runbook_test.go
@@ -18,7 +18,7 @@
 	"dooryard.example/dooryard/internal/cmd/standincmd"
 )
 
-// commands returns the lines of a page's sh blocks.
+// commands returns the command lines in the sh code blocks of a Markdown page.
 func commands(t *testing.T, page string) []string {
 	t.Helper()
 	data, err := os.ReadFile(page)
@@ -36,7 +36,7 @@
 	return lines
 }
 
-// shell runs the few forms of command lines that the runbook uses.
+// shell runs command lines in-process. It supports only the shell syntax that the runbook uses.
 type shell struct {
 	ctx        context.Context
 	background sync.WaitGroup
@@ -79,8 +79,8 @@
 	return out.String()
 }
 
-// TestRunbook runs every command of the runbook, in its order, against boxes and
-// stand-ins that its own commands start.
+// TestRunbook runs every command of the runbook in order, against boxes and stand-ins that
+// the runbook's commands start.
 func TestRunbook(t *testing.T) {
 	t.Chdir("../../..")
 	t.Setenv("DOORYARD_BOXES", "127.0.0.1:8012,127.0.0.1:8022,127.0.0.1:8032")
--- a/internal/cmd/operatorcmd/table.go
+++ b/internal/cmd/operatorcmd/table.go
@@ -20,16 +20,16 @@
 	"dooryard.example/dooryard/internal/tablefile"
 )
 
-func (p *program) tableCommand() *cli.Command {
+func (p *app) tableCommand() *cli.Command {
 	editFlags := []cli.Flag{
-		&cli.StringFlag{Name: flagID, Usage: "id of the edit; give the same one again after an unknown verdict"},
+		&cli.StringFlag{Name: flagID, Usage: "id of the edit; reuse it to retry after an unknown verdict"},
 		&cli.StringFlag{
-			Name: flagOperator, Sources: cli.EnvVars("DOORYARD_OPERATOR", "USER"), Usage: "who makes the edit",
+			Name: flagOperator, Sources: cli.EnvVars("DOORYARD_OPERATOR", "USER"), Usage: "operator who makes the edit",
 		},
 	}
 	fileFlags := []cli.Flag{
-		&cli.StringFlag{Name: "sheet", Usage: "the sheet that a CSV file holds"},
-		&cli.BoolFlag{Name: "prune", Usage: "remove rows that the file lacks"},
+		&cli.StringFlag{Name: "sheet", Usage: "sheet that a CSV file contains"},
+		&cli.BoolFlag{Name: "prune", Usage: "remove rows that are not in the file"},
 	}
 	return &cli.Command{
 		Name:  "table",
@@ -37,44 +37,44 @@
 		Commands: []*cli.Command{
 			{
 				Name: "get", Usage: "show a sheet, a row or a cell", ArgsUsage: "SHEET[/ROW[/COLUMN]]",
-				Action: p.action(p.tableGet),
+				Action: p.withClient(p.tableGet),
 			},
 			{
-				Name: "set", Usage: "set cells, all or none", ArgsUsage: "SHEET/ROW/COLUMN=VALUE ...",
-				Flags: editFlags, Action: p.action(p.tableSet),
+				Name: "set", Usage: "set cells atomically", ArgsUsage: "SHEET/ROW/COLUMN=VALUE ...",
+				Flags: editFlags, Action: p.withClient(p.tableSet),
 			},
 			{
 				Name: "remove", Usage: "remove rows", ArgsUsage: "SHEET/ROW ...",
-				Flags: editFlags, Action: p.action(p.tableRemove),
+				Flags: editFlags, Action: p.withClient(p.tableRemove),
 			},
 			{
 				Name: "diff", Usage: "show what import would change", ArgsUsage: "FILE",
-				Flags: fileFlags, Action: p.action(p.tableDiff),
+				Flags: fileFlags, Action: p.withClient(p.tableDiff),
 			},
 			{
-				Name: "import", Usage: "make the table as a file says, as one edit", ArgsUsage: "FILE",
-				Flags: append(editFlags, fileFlags...), Action: p.action(p.tableImport),
+				Name: "import", Usage: "apply a file to the table as one edit", ArgsUsage: "FILE",
+				Flags: append(editFlags, fileFlags...), Action: p.withClient(p.tableImport),
 			},
 			{
 				Name: "export", Usage: "print the table as YAML, or one sheet as CSV",
 				Flags:  []cli.Flag{&cli.StringFlag{Name: "sheet", Usage: "print this sheet as CSV"}},
-				Action: p.action(p.tableExport),
+				Action: p.withClient(p.tableExport),
 			},
-			{Name: "history", Usage: "list the newest accepted edits", Action: p.action(p.tableHistory)},
+			{Name: "history", Usage: "list the most recent accepted edits", Action: p.withClient(p.tableHistory)},
 			{
-				Name: "undo", Usage: "take an accepted edit back", ArgsUsage: "EDIT-ID",
-				Flags: editFlags, Action: p.action(p.tableUndo),
+				Name: "undo", Usage: "revert an accepted edit", ArgsUsage: "EDIT-ID",
+				Flags: editFlags, Action: p.withClient(p.tableUndo),
 			},
 			{
-				Name: "verdict", Usage: "ask for the verdict on an edit", ArgsUsage: "EDIT-ID",
-				Action: p.action(p.tableVerdict),
+				Name: "verdict", Usage: "show the verdict on an edit", ArgsUsage: "EDIT-ID",
+				Action: p.withClient(p.tableVerdict),
 			},
 		},
 	}
 }
 
-func (p *program) tableGet(ctx context.Context, c *cli.Command, client opclient.Client) error {
-	path, err := oneArgument(c, "SHEET[/ROW[/COLUMN]]")
+func (p *app) tableGet(ctx context.Context, c *cli.Command, client opclient.Client) error {
+	path, err := singleArgument(c, "SHEET[/ROW[/COLUMN]]")
 	if err != nil {
 		return err
 	}
@@ -103,12 +103,12 @@
 
 func checkSheet(name string) error {
 	if len(table.Columns(name)) == 0 {
-		return fmt.Errorf("%w: sheet %q: unknown, have %v", exit.ErrUsage, name, table.SheetNames())
+		return fmt.Errorf("%w: sheet %q: unknown, must be one of %v", exit.ErrUsage, name, table.SheetNames())
 	}
 	return nil
 }
 
-func sheetOf(reply operators.TableReply, name string) (operators.Sheet, error) {
+func findSheet(reply operators.TableReply, name string) (operators.Sheet, error) {
 	for _, sheet := range reply.Sheets {
 		if sheet.Name == name {
 			return sheet, nil
@@ -118,7 +118,7 @@
 }
 
 // printRow prints a row's cells with their revisions, or one cell's value alone.
-func (p *program) printRow(sheet operators.Sheet, path []string) error {
+func (p *app) printRow(sheet operators.Sheet, path []string) error {
 	for _, row := range sheet.Rows {
 		if row.Name != path[0] {
 			continue
@@ -137,9 +137,9 @@
 	return fmt.Errorf("%w: row %q: unknown in %s", exit.ErrUsage, path[0], sheet.Name)
 }
 
-func (p *program) tableSet(ctx context.Context, c *cli.Command, client opclient.Client) error {
+func (p *app) tableSet(ctx context.Context, c *cli.Command, client opclient.Client) error {
 	if c.Args().Len() == 0 {
-		return fmt.Errorf("%w: set: needs SHEET/ROW/COLUMN=VALUE", exit.ErrUsage)
+		return fmt.Errorf("%w: set: requires SHEET/ROW/COLUMN=VALUE", exit.ErrUsage)
 	}
 	changes := []table.Change{}
 	for _, argument := range c.Args().Slice() {
@@ -153,14 +153,14 @@
 		}
 		changes = append(changes, table.Change{Sheet: parts[0], Row: parts[1], Column: parts[2], Value: value})
 	}
-	if err := baseOnCurrent(ctx, client, changes); err != nil {
+	if err := setBaseRevisions(ctx, client, changes); err != nil {
 		return err
 	}
 	return p.submit(ctx, c, client, changes)
 }
 
-// baseOnCurrent bases changes of cells on the revisions that they have now.
-func baseOnCurrent(ctx context.Context, client opclient.Client, changes []table.Change) error {
+// setBaseRevisions sets the base revision of each change to the cell's current revision.
+func setBaseRevisions(ctx context.Context, client opclient.Client, changes []table.Change) error {
 	rows := map[string][]string{}
 	for _, change := range changes {
 		rows[change.Sheet] = append(rows[change.Sheet], change.Row)
@@ -174,14 +174,14 @@
 		reply.Sheets = append(reply.Sheets, sheet)
 	}
 	for i, change := range changes {
-		changes[i].BasedOn = cellOf(reply, []string{change.Sheet, change.Row, change.Column}).Revision
+		changes[i].BasedOn = findCell(reply, []string{change.Sheet, change.Row, change.Column}).Revision
 	}
 	return nil
 }
 
-// cellOf returns the cell at sheet, row and column; the zero cell if none is.
-func cellOf(reply operators.TableReply, parts []string) table.Cell {
-	sheet, err := sheetOf(reply, parts[0])
+// findCell returns the cell at a sheet, row and column, or the zero value if there is none.
+func findCell(reply operators.TableReply, parts []string) table.Cell {
+	sheet, err := findSheet(reply, parts[0])
 	if err != nil {
 		return table.Cell{}
 	}
@@ -198,7 +198,7 @@
 	return table.Cell{}
 }
 
-func (p *program) tableRemove(ctx context.Context, c *cli.Command, client opclient.Client) error {
+func (p *app) tableRemove(ctx context.Context, c *cli.Command, client opclient.Client) error {
 	changes := []table.Change{}
 	for _, address := range c.Args().Slice() {
 		sheetName, rowName, _ := strings.Cut(address, "/")
@@ -209,31 +209,31 @@
 		if err != nil {
 			return err
 		}
-		newest, found := newestOf(sheet, rowName)
+		latest, found := latestRevision(sheet, rowName)
 		if !found {
 			return fmt.Errorf("%w: row %q: unknown in %s", exit.ErrUsage, rowName, sheetName)
 		}
-		changes = append(changes, table.Change{Sheet: sheetName, Row: rowName, Remove: true, BasedOn: newest})
+		changes = append(changes, table.Change{Sheet: sheetName, Row: rowName, Remove: true, BasedOn: latest})
 	}
 	return p.submit(ctx, c, client, changes)
 }
 
-func newestOf(sheet operators.Sheet, rowName string) (newest int64, found bool) {
+func latestRevision(sheet operators.Sheet, rowName string) (latest int64, found bool) {
 	for _, row := range sheet.Rows {
 		if row.Name != rowName {
 			continue
 		}
 		for _, cell := range row.Cells {
-			newest = max(newest, cell.Revision)
+			latest = max(latest, cell.Revision)
 		}
-		return newest, true
+		return latest, true
 	}
 	return 0, false
 }
 
-// submit hands in an edit and prints its verdict. An unknown verdict names the
-// id under which to ask again.
-func (p *program) submit(ctx context.Context, c *cli.Command, client opclient.Client, changes []table.Change) error {
+// submit submits an edit and prints its verdict. If the verdict is unknown, the error names
+// the id by which to query it.
+func (p *app) submit(ctx context.Context, c *cli.Command, client opclient.Client, changes []table.Change) error {
 	if len(changes) == 0 {
 		fmt.Fprintln(p.out, "nothing to change")
 		return nil
@@ -244,9 +244,9 @@
 	}
 	verdict, err := client.Submit(ctx, edit)
 	if errors.Is(err, opclient.ErrVerdictUnknown) {
-		return cli.Exit(fmt.Sprintf("the verdict on edit %s is not known yet: it may still take hold.\n"+
-			"Ask with: dooryard table verdict %s\nOr repeat the command with: --id %s", edit.ID, edit.ID, edit.ID),
-			exitUnknown)
+		return cli.Exit(fmt.Sprintf("the verdict on edit %s is not known yet: it may still be applied.\n"+
+			"Query it with: dooryard table verdict %s\nOr retry the command with: --id %s", edit.ID, edit.ID, edit.ID),
+			exitCodeVerdictUnknown)
 	}
 	if err != nil {
 		return err
@@ -255,19 +255,19 @@
 }
 
 // exitUnknown is the exit code of an edit whose verdict is not known.
-const exitUnknown = 3
+const exitCodeVerdictUnknown = 3
 
-func (p *program) printVerdict(verdict table.Verdict) error {
+func (p *app) printVerdict(verdict table.Verdict) error {
 	fmt.Fprintf(p.out, "edit %s at offset %d: %s\n", verdict.ID, verdict.Offset, verdict.Result)
 	for _, issue := range verdict.Issues {
 		fmt.Fprintf(p.out, "  %s: %s\n", issue.Address, issue.Reason)
 		if verdict.Result == table.Conflict {
-			fmt.Fprintf(p.out, "    yours: %q, in the table: %q (revision %d)\n",
+			fmt.Fprintf(p.out, "    new value: %q, in the table: %q (revision %d)\n",
 				issue.Wanted, issue.Current, issue.CurrentRevision)
 		}
 	}
 	if verdict.Result != table.Accepted {
-		return errRefused
+		return errRejected
 	}
 	return nil
 }
@@ -291,9 +291,9 @@
 	return tablefile.DecodeYAML(path, data)
 }
 
-// fileChanges returns what a file would change now.
+// fileChanges returns the changes that an import of the file would make to the current table.
 func fileChanges(ctx context.Context, c *cli.Command, client opclient.Client) ([]table.Change, error) {
-	path, err := oneArgument(c, "FILE")
+	path, err := singleArgument(c, "FILE")
 	if err != nil {
 		return nil, err
 	}
@@ -312,7 +312,7 @@
 	return tablefile.Changes(file, tablefile.Current{Table: reply, History: history}, c.Bool("prune")), nil
 }
 
-func (p *program) tableDiff(ctx context.Context, c *cli.Command, client opclient.Client) error {
+func (p *app) tableDiff(ctx context.Context, c *cli.Command, client opclient.Client) error {
 	changes, err := fileChanges(ctx, c, client)
 	if err != nil {
 		return err
@@ -326,13 +326,13 @@
 			fmt.Fprintf(p.out, "- %s\n", change.Address())
 			continue
 		}
-		current := cellOf(reply, []string{change.Sheet, change.Row, change.Column})
+		current := findCell(reply, []string{change.Sheet, change.Row, change.Column})
 		fmt.Fprintf(p.out, "~ %s: %q -> %q\n", change.Address(), current.Value, change.Value)
 	}
 	return nil
 }
 
-func (p *program) tableImport(ctx context.Context, c *cli.Command, client opclient.Client) error {
+func (p *app) tableImport(ctx context.Context, c *cli.Command, client opclient.Client) error {
 	changes, err := fileChanges(ctx, c, client)
 	if err != nil {
 		return err
@@ -340,7 +340,7 @@
 	return p.submit(ctx, c, client, changes)
 }
 
-func (p *program) tableExport(ctx context.Context, c *cli.Command, client opclient.Client) error {
+func (p *app) tableExport(ctx context.Context, c *cli.Command, client opclient.Client) error {
 	reply, err := client.Table(ctx)
 	if err != nil {
 		return err
@@ -358,7 +358,7 @@
 	return err
 }
 
-func (p *program) tableHistory(ctx context.Context, _ *cli.Command, client opclient.Client) error {
+func (p *app) tableHistory(ctx context.Context, _ *cli.Command, client opclient.Client) error {
 	history, err := client.History(ctx)
 	if err != nil {
 		return err
@@ -376,8 +376,8 @@
 	return nil
 }
 
-func (p *program) tableUndo(ctx context.Context, c *cli.Command, client opclient.Client) error {
-	id, err := oneArgument(c, "EDIT-ID")
+func (p *app) tableUndo(ctx context.Context, c *cli.Command, client opclient.Client) error {
+	id, err := singleArgument(c, "EDIT-ID")
 	if err != nil {
 		return err
 	}
@@ -394,11 +394,11 @@
 			return p.submit(ctx, c, client, tablefile.Undo(entry, reply))
 		}
 	}
-	return fmt.Errorf("%w: edit %s: not among the newest accepted edits", exit.ErrUsage, id)
+	return fmt.Errorf("%w: edit %s: not among the most recent accepted edits", exit.ErrUsage, id)
 }
 
-func (p *program) tableVerdict(ctx context.Context, c *cli.Command, client opclient.Client) error {
-	id, err := oneArgument(c, "EDIT-ID")
+func (p *app) tableVerdict(ctx context.Context, c *cli.Command, client opclient.Client) error {
+	id, err := singleArgument(c, "EDIT-ID")
 	if err != nil {
 		return err
 	}
@@ -409,11 +409,11 @@
 	return p.printVerdict(verdict)
 }
 
-// keyCommand turns a caller's key into what the table keeps of it.
-func (p *program) keyCommand() *cli.Command {
+// keyCommand prints the hash of a caller's key, which is what the table stores.
+func (p *app) keyCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "key",
-		Usage: "read a caller's key from standard input and print what the table keeps of it",
+		Usage: "read a caller's key from standard input and print its hash for the table",
 		Action: func(context.Context, *cli.Command) error {
 			data, err := io.ReadAll(io.LimitReader(p.in, maxKeyBytes))
 			if err != nil {
@@ -421,7 +421,7 @@
 			}
 			key := strings.TrimSpace(string(data))
 			if key == "" {
-				return fmt.Errorf("%w: standard input holds no key", exit.ErrUsage)
+				return fmt.Errorf("%w: standard input contains no key", exit.ErrUsage)
 			}
 			fmt.Fprintln(p.out, table.HashKey(key))
 			return nil
--- a/internal/cmd/operatorcmd/why.go
+++ b/internal/cmd/operatorcmd/why.go
@@ -13,35 +13,35 @@
 	"dooryard.example/dooryard/internal/why"
 )
 
-// errNoLine makes an exit code of a request that no line names.
-var errNoLine = errors.New("no line names this request")
+// errNoLogLines sets the exit code if no log line names the request.
+var errNoLogLines = errors.New("no log line names this request")
 
-// defaultBefore is how far back a box's own lines are shown: longer than keys are
-// trusted without a proof.
-const defaultBefore = 10 * time.Second
+// defaultLookback is how long before a request the state changes of its boxes are shown. It is
+// longer than keys are accepted without a confirmation from the store.
+const defaultLookback = 10 * time.Second
 
-func (p *program) whyCommand() *cli.Command {
+func (p *app) whyCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "why",
-		Usage:     "tell from boxes' log lines what became of a request, and what its boxes believed",
+		Usage:     "explain the outcome of a request from the boxes' log lines, with the state changes of its boxes",
 		ArgsUsage: "REQUEST_ID [FILE ...]  (standard input without a file)",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "before", Value: defaultBefore, Usage: "how far back to show what the boxes learnt"},
-			&cli.BoolFlag{Name: flagJSON, Usage: "print the lines as they were written"},
+			&cli.DurationFlag{Name: "before", Value: defaultLookback, Usage: "how far back to show the boxes' state changes"},
+			&cli.BoolFlag{Name: flagJSON, Usage: "print the original lines"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().First() == "" {
-				return fmt.Errorf("%w: why: needs a request's id", exit.ErrUsage)
+				return fmt.Errorf("%w: why: requires a request id", exit.ErrUsage)
 			}
 			lines, err := p.readLogs(c.Args().Tail())
 			if err != nil {
 				return err
 			}
-			story := why.Story(lines, c.Args().First(), c.Duration("before"))
-			if len(story) == 0 {
-				return fmt.Errorf("%w: %s", errNoLine, c.Args().First())
+			selected := why.Story(lines, c.Args().First(), c.Duration("before"))
+			if len(selected) == 0 {
+				return fmt.Errorf("%w: %s", errNoLogLines, c.Args().First())
 			}
-			for _, line := range story {
+			for _, line := range selected {
 				text := line.Text()
 				if c.Bool(flagJSON) {
 					text = line.JSON()
@@ -54,7 +54,7 @@
 }
 
 // readLogs reads the files, or standard input when there are none.
-func (p *program) readLogs(paths []string) ([]why.Line, error) {
+func (p *app) readLogs(paths []string) ([]why.Line, error) {
 	if len(paths) == 0 {
 		return why.Read(nil, p.in)
 	}
--- a/internal/cmd/routercmd/routercmd.go
+++ b/internal/cmd/routercmd/routercmd.go
@@ -14,8 +14,8 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// New returns the command. Spans of the stdout exporter go to out, log lines to
-// logs.
+// New returns the command. The stdout exporter writes spans to out; log lines are written
+// to logs.
 func New(out, logs io.Writer) *cli.Command {
 	return daemon.Daemon[config.Router]{
 		Name:        "dooryard-router",
@@ -28,7 +28,7 @@
 	}.Command()
 }
 
-// run runs the box until the context ends, which begins its planned stop.
+// run runs the box until the context ends, which starts its graceful shutdown.
 func run(ctx context.Context, settings config.Router, out, logs io.Writer) error {
 	logger, err := logging.New(logs, settings.Logs.Level)
 	if err != nil {
--- a/internal/cmd/soakcmd/soakcmd.go
+++ b/internal/cmd/soakcmd/soakcmd.go
@@ -24,43 +24,43 @@
 	defaultClients = 24
 )
 
-// New returns the command. A report a line goes to out.
+// New returns the command. It prints one JSON report per line to out.
 func New(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:    "dooryard-soak",
-		Usage:   "run real boxes as processes, break things from outside, and check the fleet's promises",
+		Usage:   "run real boxes as processes, inject faults from outside, and check the fleet's guarantees",
 		Version: version.String(),
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "gateway", Required: true, Usage: "path of dooryard-gateway"},
-			&cli.StringFlag{Name: "keep", Value: "soak-logs", Usage: "folder for the logs of each seed"},
+			&cli.StringFlag{Name: "gateway", Required: true, Usage: "path of the dooryard-gateway binary"},
+			&cli.StringFlag{Name: "keep", Value: "soak-logs", Usage: "directory for the logs of each seed"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "first seed"},
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds to play, one after the other"},
-			&cli.BoolFlag{Name: "regressions", Usage: "play one seed of each cause that ever failed, in place of --seeds"},
-			&cli.DurationFlag{Name: "span", Value: defaultSeconds * 1e9, Usage: "how long faults go on, a seed"},
-			&cli.IntFlag{Name: "boxes", Value: defaultBoxes, Usage: "processes"},
-			&cli.IntFlag{Name: "servers", Value: defaultServers, Usage: "servers, in this process"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of consecutive seeds to run"},
+			&cli.BoolFlag{Name: "regressions", Usage: "run one seed for each cause of a past failure, instead of --seeds"},
+			&cli.DurationFlag{Name: "span", Value: defaultSeconds * 1e9, Usage: "duration of fault injection per seed"},
+			&cli.IntFlag{Name: "boxes", Value: defaultBoxes, Usage: "number of boxes, each in its own process"},
+			&cli.IntFlag{Name: "servers", Value: defaultServers, Usage: "number of servers, in this process"},
 			&cli.BoolFlag{
 				Name:  "timed",
-				Usage: "check bounds in time, too, with faults that leave most boxes alone; wants an idle machine",
+				Usage: "check time bounds, too, with faults that leave most boxes unaffected; requires an idle machine",
 			},
-			&cli.IntFlag{Name: "clients", Value: defaultClients, Usage: "clients, in this process"},
+			&cli.IntFlag{Name: "clients", Value: defaultClients, Usage: "number of clients, in this process"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			errs := []error{}
-			for _, seed := range seeds(c) {
-				// A run that is ended plays no more seeds: without faults they would show nothing.
+			for _, seed := range selectedSeeds(c) {
+				// A cancelled run starts no more seeds: without faults they would test nothing.
 				if ctx.Err() != nil {
 					return errors.Join(append(errs, ctx.Err())...)
 				}
-				errs = append(errs, play(ctx, c, out, seed))
+				errs = append(errs, runSeed(ctx, c, out, seed))
 			}
 			return errors.Join(errs...)
 		},
 	}
 }
 
-// seeds are the seeds that the flags ask for.
-func seeds(c *cli.Command) []uint64 {
+// selectedSeeds returns the seeds selected by the flags.
+func selectedSeeds(c *cli.Command) []uint64 {
 	list := []uint64{}
 	if c.Bool("regressions") {
 		for _, r := range soak.Regressions() {
@@ -74,7 +74,7 @@
 	return list
 }
 
-func play(ctx context.Context, c *cli.Command, out io.Writer, seed uint64) error {
+func runSeed(ctx context.Context, c *cli.Command, out io.Writer, seed uint64) error {
 	program, err := filepath.Abs(c.String("gateway"))
 	if err != nil {
 		return err
--- a/internal/cmd/standincmd/standincmd.go
+++ b/internal/cmd/standincmd/standincmd.go
@@ -19,41 +19,41 @@
 	"dooryard.example/dooryard/internal/version"
 )
 
-const headerTimeoutMs = 10 * clock.Second
+const headerTimeout = 10 * clock.Second
 
-// New returns the command; it tells its address on out.
+// New returns the command. Stand-ins print their listen address to out.
 func New(out io.Writer) *cli.Command {
-	address := &cli.StringFlag{Name: "address", Value: "127.0.0.1:0", Usage: "IP number and port to listen on"}
+	address := &cli.StringFlag{Name: "address", Value: "127.0.0.1:0", Usage: "IP address and port to listen on"}
 	name := &cli.StringFlag{Name: "name", Value: "standin", Usage: "name of the upstream"}
 	return &cli.Command{
 		Name:                  "dooryard-standin",
-		Usage:                 "stand in for the platform, a model engine or a plain service",
+		Usage:                 "simulate the platform, a model engine or a plain service",
 		Version:               version.String(),
 		EnableShellCompletion: true,
 		Commands: []*cli.Command{
 			{
-				Name: "platform", Usage: "the log, the weight store and the list of boxes",
+				Name: "platform", Usage: "run a stand-in for the log, the weight store and the list of boxes",
 				Flags: []cli.Flag{
 					address,
-					&cli.IntFlag{Name: "appends-per-second", Value: 400, Usage: "rate limit of the log"},
-					&cli.IntFlag{Name: "loads-per-minute", Value: 6, Usage: "rate limit of the weight store"},
-					&cli.IntFlag{Name: "list-lag-ms", Value: 2000, Usage: "age of the list of boxes"},
+					&cli.IntFlag{Name: "appends-per-second", Value: 400, Usage: "append rate limit of the log"},
+					&cli.IntFlag{Name: "loads-per-minute", Value: 6, Usage: "load rate limit of the weight store"},
+					&cli.IntFlag{Name: "list-lag-ms", Value: 2000, Usage: "lag of the list of boxes, in milliseconds"},
 				},
 				Action: func(ctx context.Context, c *cli.Command) error { return serve(ctx, c, out, newPlatform(c)) },
 			},
 			{
-				Name: "engine", Usage: "a model engine",
+				Name: "engine", Usage: "run a stand-in for a model engine",
 				Flags: []cli.Flag{
 					address, name,
-					&cli.StringSliceFlag{Name: "model", Required: true, Usage: "a model that it serves; repeat"},
-					&cli.BoolFlag{Name: "check-tokens", Usage: "refuse orders with stale fencing tokens"},
-					&cli.IntFlag{Name: "token-ms", Value: 5, Usage: "time between two tokens"},
-					&cli.IntFlag{Name: "slots", Value: 64, Usage: "requests that run at once"},
+					&cli.StringSliceFlag{Name: "model", Required: true, Usage: "model to serve; may be repeated"},
+					&cli.BoolFlag{Name: "check-tokens", Usage: "reject orders with stale fencing tokens"},
+					&cli.IntFlag{Name: "token-ms", Value: 5, Usage: "time between two tokens, in milliseconds"},
+					&cli.IntFlag{Name: "slots", Value: 64, Usage: "maximum number of concurrent requests"},
 				},
 				Action: func(ctx context.Context, c *cli.Command) error { return serve(ctx, c, out, newEngine(c)) },
 			},
 			{
-				Name: "service", Usage: "one server of a plain service",
+				Name: "service", Usage: "run a stand-in for one server of a plain service",
 				Flags: []cli.Flag{address, name},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					return serve(ctx, c, out, standin.NewServer(c.String("name"), standin.NewRunLedger(), clock.New()))
@@ -84,17 +84,17 @@
 	return standin.NewEngine(c.String("name"), c.StringSlice("model"), options...)
 }
 
-// serve answers until the context ends.
+// serve handles requests until the context ends.
 func serve(ctx context.Context, c *cli.Command, out io.Writer, handler http.Handler) error {
 	address := c.String("address")
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		return fmt.Errorf("%w: --address: %q is not an IP number and port", exit.ErrUsage, address)
+		return fmt.Errorf("%w: --address: %q is not an IP address and port", exit.ErrUsage, address)
 	}
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeoutMs.Duration()}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout.Duration()}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	fmt.Fprintf(out, "%s listens on %s\n", c.Name, listener.Addr())
@@ -104,16 +104,16 @@
 	return nil
 }
 
-// faultCommand switches a running stand-in's faults.
+// faultCommand sets the injected faults of a running stand-in.
 func faultCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:      "fault",
-		Usage:     "set the faults of a running stand-in; FAULTS is a JSON object, {} ends them",
+		Usage:     "set the injected faults of a running stand-in; FAULTS is a JSON object, {} clears them",
 		ArgsUsage: "log|engine|server ADDRESS FAULTS",
 		Action: func(ctx context.Context, c *cli.Command) error {
 			const arguments = 3
 			if c.Args().Len() != arguments {
-				return fmt.Errorf("%w: fault: needs a kind, an address and a JSON object", exit.ErrUsage)
+				return fmt.Errorf("%w: fault: requires a kind, an address and a JSON object", exit.ErrUsage)
 			}
 			url := "http://" + c.Args().Get(1) + "/standin/" + c.Args().Get(0) + "/faults"
 			request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(c.Args().Get(2)))
