--- a/internal/bounds/bounds.go
+++ b/internal/bounds/bounds.go
@@ -1,5 +1,6 @@
-// Package bounds holds the figures that must not get worse: counts, bytes and
-// the quality of decisions in seeded runs, which are the same on every machine.
+// Package bounds checks measurements against recorded bounds to detect regressions. It covers
+// counts, bytes and the quality of decisions in seeded runs, which are the same on every
+// machine.
 package bounds
 
 import (
@@ -33,36 +34,36 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// ErrWorse means that a figure is worse than its bound allows.
-var ErrWorse = errors.New("a figure got worse")
+// ErrRegression means that a measurement exceeds its bound.
+var ErrRegression = errors.New("regression")
 
-// Bound is a figure and by what part it may get worse.
+// Bound is a recorded measurement and the relative change for the worse that is allowed.
 type Bound struct {
 	Value float64 `json:"value"`
-	// Part is the allowed change for the worse.
-	Part float64 `json:"part"`
-	// HigherIsBetter is set for figures that must not fall.
+	// Tolerance is the allowed change for the worse, as a fraction of Value.
+	Tolerance float64 `json:"part"`
+	// HigherIsBetter is set for measurements that must not decrease.
 	HigherIsBetter bool `json:"higher_is_better,omitempty"`
 }
 
-// worse reports whether a new value breaks the bound.
-func (b Bound) worse(value float64) bool {
+// regressed reports whether a new value violates the bound.
+func (b Bound) regressed(value float64) bool {
 	if b.HigherIsBetter {
-		return value < b.Value*(1-b.Part)
+		return value < b.Value*(1-b.Tolerance)
 	}
-	return value > b.Value*(1+b.Part)
+	return value > b.Value*(1+b.Tolerance)
 }
 
-// Measure returns every figure by name.
+// Measure returns all measurements by name.
 func Measure() (map[string]float64, error) {
-	figures := map[string]float64{
+	values := map[string]float64{
 		"grants: bytes of an ask and its reply": float64(grant.WireSizes().Ask + grant.WireSizes().Reply),
 		"grants: bytes of a hold":               float64(grant.WireSizes().Hold),
 		"claims: bytes of a claim and its end":  float64(capacity.ClaimBytes()),
 		"forward: allocations of an attempt":    forwardAllocations(),
 	}
 	for name, value := range capacity.GossipBytes() {
-		figures["membership: "+name] = value
+		values["membership: "+name] = value
 	}
 	for _, s := range routebench.Scenarios(1)[:2] {
 		for _, policy := range []string{route.PolicyGrants, routebench.PerfectKnowledge} {
@@ -70,21 +71,21 @@
 			if err != nil {
 				return nil, err
 			}
-			figures[s.Name+": reuse of "+policy] = result.Reuse
-			figures[s.Name+": skew of "+policy] = result.Skew
+			values[s.Name+": reuse of "+policy] = result.Reuse
+			values[s.Name+": skew of "+policy] = result.Skew
 		}
 	}
-	return figures, nil
+	return values, nil
 }
 
 const allocationRuns = 200
 
-// forwardAllocations counts what the forward step allocates for a small answer,
-// the HTTP client aside.
+// forwardAllocations returns the number of allocations of the forward step for a small
+// response, without those of the HTTP client.
 func forwardAllocations() float64 {
 	row := &table.Upstream{Name: "e", Address: "127.0.0.1:1"}
 	pipe := forward.New(forward.Dependencies{
-		Transport: answering{}, Report: func(string, int) {}, Metrics: metrics.New(),
+		Transport: stubTransport{}, Report: func(string, int) {}, Metrics: metrics.New(),
 		Tracer: noop.NewTracerProvider().Tracer(""), Logger: zap.NewNop(), Clock: clock.New(),
 		Next: func(*exchange.Exchange, pool.Tried) (*pool.Lease, error) { return nil, route.ErrNoUpstream },
 	})
@@ -100,11 +101,11 @@
 	})
 }
 
-// answering is a transport whose every request is answered at once.
-type answering struct{}
+// stubTransport responds to each request immediately.
+type stubTransport struct{}
 
 // RoundTrip implements http.RoundTripper.
-func (answering) RoundTrip(r *http.Request) (*http.Response, error) {
+func (stubTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	const body = `{"choices":[]}`
 	header := http.Header{}
 	header.Set(engine.HeaderRequestID, r.Header.Get(engine.HeaderRequestID))
@@ -127,36 +128,36 @@
 	return bounds, nil
 }
 
-// Check compares figures with their bounds and prints each. The error names all
-// that got worse, and all that have no bound.
-func Check(out io.Writer, bounds map[string]Bound, figures map[string]float64) error {
+// Check compares measurements with their bounds and prints each. The error names all
+// regressions, measurements without a bound, and bounds without a measurement.
+func Check(out io.Writer, bounds map[string]Bound, values map[string]float64) error {
 	problems := []error{}
-	for _, name := range slices.Sorted(maps.Keys(figures)) {
+	for _, name := range slices.Sorted(maps.Keys(values)) {
 		bound, known := bounds[name]
-		fmt.Fprintf(out, "%-70s %10.3f  bound %10.3f within %.0f%%\n", name, figures[name], bound.Value, 100*bound.Part)
+		fmt.Fprintf(out, "%-70s %10.3f  bound %10.3f within %.0f%%\n", name, values[name], bound.Value, 100*bound.Tolerance)
 		switch {
 		case !known:
-			problems = append(problems, fmt.Errorf("%w: %s has no bound", ErrWorse, name))
-		case bound.worse(figures[name]):
-			problems = append(problems, fmt.Errorf("%w: %s: %.3f, was %.3f", ErrWorse, name, figures[name], bound.Value))
+			problems = append(problems, fmt.Errorf("%w: %s has no bound", ErrRegression, name))
+		case bound.regressed(values[name]):
+			problems = append(problems, fmt.Errorf("%w: %s: %.3f, was %.3f", ErrRegression, name, values[name], bound.Value))
 		}
 	}
 	for name := range bounds {
-		if _, measured := figures[name]; !measured {
-			problems = append(problems, fmt.Errorf("%w: %s is no longer measured", ErrWorse, name))
+		if _, measured := values[name]; !measured {
+			problems = append(problems, fmt.Errorf("%w: %s is no longer measured", ErrRegression, name))
 		}
 	}
 	return errors.Join(problems...)
 }
 
-// Update takes the figures for the new bounds; parts and directions stay.
-func Update(path string, bounds map[string]Bound, figures map[string]float64) error {
-	const defaultPart = 0.05
+// Update writes the measurements as new bounds. Tolerances and directions of known bounds stay.
+func Update(path string, bounds map[string]Bound, values map[string]float64) error {
+	const defaultTolerance = 0.05
 	updated := map[string]Bound{}
-	for name, value := range figures {
+	for name, value := range values {
 		bound, known := bounds[name]
 		if !known {
-			bound = Bound{Part: defaultPart, HigherIsBetter: strings.Contains(name, "reuse")}
+			bound = Bound{Tolerance: defaultTolerance, HigherIsBetter: strings.Contains(name, "reuse")}
 		}
 		bound.Value = value
 		updated[name] = bound
--- a/internal/bounds/check/main.go
+++ b/internal/bounds/check/main.go
@@ -1,5 +1,5 @@
-// Command check compares the figures of package bounds with their bounds; with
-// -update it takes the present figures for new bounds.
+// Command check compares the measurements of package bounds with their recorded bounds. With
+// -update it records the current measurements as new bounds.
 package main
 
 import (
@@ -11,8 +11,8 @@
 )
 
 func main() {
-	path := flag.String("file", "internal/bounds/bounds.json", "file of the bounds")
-	update := flag.Bool("update", false, "take the present figures for new bounds")
+	path := flag.String("file", "internal/bounds/bounds.json", "path of the bounds file")
+	update := flag.Bool("update", false, "record the current measurements as new bounds")
 	flag.Parse()
 	if err := run(*path, *update); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -25,12 +25,12 @@
 	if err != nil && !update {
 		return err
 	}
-	figures, err := bounds.Measure()
+	values, err := bounds.Measure()
 	if err != nil {
 		return err
 	}
 	if update {
-		return bounds.Update(path, known, figures)
+		return bounds.Update(path, known, values)
 	}
-	return bounds.Check(os.Stdout, known, figures)
+	return bounds.Check(os.Stdout, known, values)
 }
