--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,12 +1,12 @@
-// Package version names the build of every program.
+// Package version identifies the build of the programs.
 package version
 
 import "runtime/debug"
 
-// version is set by the linker for releases.
+// version is the release version, set by the linker in release builds.
 var version = ""
 
-// String returns the release, or the revision that the build came from.
+// String returns the release version, or for development builds the VCS revision.
 func String() string {
 	if version != "" {
 		return version
