--- a/cmd/dooryard-gateway/main.go
+++ b/cmd/dooryard-gateway/main.go
@@ -1,4 +1,4 @@
-// Command dooryard-gateway is the daemon of an entry box on the users' platform.
+// Command dooryard-gateway routes opaque requests on an entry box of the users' platform.
 package main
 
 import (
--- a/cmd/dooryard-load/main.go
+++ b/cmd/dooryard-load/main.go
@@ -1,4 +1,4 @@
-// Command dooryard-load sends load to a fleet and checks every answer.
+// Command dooryard-load sends load to a fleet and checks every response.
 package main
 
 import (
--- a/cmd/dooryard-router/main.go
+++ b/cmd/dooryard-router/main.go
@@ -1,4 +1,4 @@
-// Command dooryard-router is the daemon of an entry box.
+// Command dooryard-router routes requests on an entry box.
 package main
 
 import (
--- a/cmd/dooryard-soak/main.go
+++ b/cmd/dooryard-soak/main.go
@@ -1,4 +1,4 @@
-// Command dooryard-soak breaks real boxes from outside and checks their promises.
+// Command dooryard-soak injects faults into real boxes from outside and checks their guarantees.
 package main
 
 import (
--- a/cmd/dooryard-standin/main.go
+++ b/cmd/dooryard-standin/main.go
@@ -1,4 +1,4 @@
-// Command dooryard-standin runs stand-ins for the outside systems.
+// Command dooryard-standin runs stand-ins for external systems.
 package main
 
 import (
--- a/cmd/dooryard/main.go
+++ b/cmd/dooryard/main.go
@@ -1,4 +1,4 @@
-// Command dooryard is the operators' client.
+// Command dooryard is the command line client for operators.
 package main
 
 import (
