--- a/pkg/config/gateway.go
+++ b/pkg/config/gateway.go
@@ -100,7 +100,7 @@
 	// second crash, but hardly ever a third one (10 of 47,800 on a day on which 45 of 112
 	// engines crashed). 0 disables the quarantine.
 	AfterEnds *int `yaml:"after_ends"`
-	// HoldMs is how long a request is held back after the newest crash under it.
+	// HoldMs is how long a request is held back after the most recent crash under it.
 	HoldMs int64 `yaml:"hold_ms"`
 }
 
