--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -10,40 +10,41 @@
 	"dooryard.example/dooryard/internal/engine"
 )
 
-// blockTokens is how many tokens one cached block holds.
+// blockTokens is the number of tokens in one cached block.
 const blockTokens = 16
 
-// prefixCache remembers prompt prefixes, in blocks of tokens, within a limited
-// number of tokens; the least recently used blocks go first.
+// prefixCache caches prompt prefixes as blocks of tokens. It holds a limited number of
+// tokens and evicts the least recently used blocks first.
 type prefixCache struct {
 	capacity int
 	blocks   map[uint64]*list.Element
-	recent   *list.List
+	lru      *list.List
 	events   func(prefix uint64, stored bool)
 }
 
 func newPrefixCache(capacityTokens int, events func(prefix uint64, stored bool)) *prefixCache {
 	return &prefixCache{
 		capacity: capacityTokens / blockTokens, blocks: map[uint64]*list.Element{},
-		recent: list.New(), events: events,
+		lru: list.New(), events: events,
 	}
 }
 
-// chain returns the hashes of a prompt's blocks; each depends on all before it.
-func chain(prompt string) (hashes []uint64, tokens int) {
+// prefixHashes returns the hashes of a prompt's blocks and its number of tokens. Each hash
+// covers its block and all blocks before it.
+func prefixHashes(prompt string) (hashes []uint64, tokens int) {
 	words := strings.Fields(prompt)
 	running := uint64(0)
 	for start := 0; start+blockTokens <= len(words); start += blockTokens {
 		block := strings.Join(words[start:start+blockTokens], " ")
-		running = xxhash.Sum64String(block) ^ (running*prefixFactor + 1)
+		running = xxhash.Sum64String(block) ^ (running*prefixHashMultiplier + 1)
 		hashes = append(hashes, running)
 	}
 	return hashes, len(words)
 }
 
-const prefixFactor = 0x9e3779b97f4a7c15
+const prefixHashMultiplier = 0x9e3779b97f4a7c15
 
-// use returns how many tokens of a prompt were warm and makes all of it warm.
+// use returns how many leading tokens of a prompt were cached, and caches the whole prompt.
 func (c *prefixCache) use(hashes []uint64) (cachedTokens int) {
 	warm := true
 	for _, hash := range hashes {
@@ -53,10 +54,10 @@
 			cachedTokens += blockTokens
 		}
 		if found {
-			c.recent.MoveToFront(element)
+			c.lru.MoveToFront(element)
 			continue
 		}
-		c.blocks[hash] = c.recent.PushFront(hash)
+		c.blocks[hash] = c.lru.PushFront(hash)
 		c.events(hash, true)
 	}
 	c.evict()
@@ -64,23 +65,23 @@
 }
 
 func (c *prefixCache) evict() {
-	for c.recent.Len() > c.capacity {
-		oldest := c.recent.Back()
+	for c.lru.Len() > c.capacity {
+		oldest := c.lru.Back()
 		hash, _ := oldest.Value.(uint64)
-		c.recent.Remove(oldest)
+		c.lru.Remove(oldest)
 		delete(c.blocks, hash)
 		c.events(hash, false)
 	}
 }
 
-// cacheEvents is the engine's list of cache events, late and with gaps: of every
-// few events one is left out, its sequence number included.
+// cacheEvents is the engine's list of cache events. Readers get events late and with gaps:
+// every tenth event is dropped together with its sequence number.
 type cacheEvents struct {
 	sequence int64
-	events   []datedEvent
+	events   []timedEvent
 }
 
-type datedEvent struct {
+type timedEvent struct {
 	engine.CacheEvent
 	atMs clock.Millis
 }
@@ -96,13 +97,14 @@
 		return
 	}
 	event := engine.CacheEvent{Sequence: c.sequence, Prefix: prefix, Stored: stored, Tokens: blockTokens}
-	c.events = append(c.events, datedEvent{CacheEvent: event, atMs: now})
+	c.events = append(c.events, timedEvent{CacheEvent: event, atMs: now})
 	if len(c.events) > maxCacheEvents {
 		c.events = c.events[len(c.events)-maxCacheEvents:]
 	}
 }
 
-// from returns the events from a sequence number on that were there at an instant.
+// from returns the events with at least the given sequence number that existed at the time
+// visible.
 func (c *cacheEvents) from(sequence int64, visible clock.Millis) []engine.CacheEvent {
 	found := []engine.CacheEvent{}
 	for _, event := range c.events {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -18,44 +18,45 @@
 	"dooryard.example/dooryard/internal/jsonhttp"
 )
 
-// EngineSpeed is how an engine's time goes.
+// EngineSpeed sets the timing and the capacity of an engine.
 type EngineSpeed struct {
-	// PrefillTokensPerMs is how many cold prompt tokens are read a millisecond.
+	// PrefillTokensPerMs is the number of uncached prompt tokens processed per millisecond.
 	PrefillTokensPerMs int
 	// TokenMs is the time between two tokens of an answer.
 	TokenMs clock.Millis
-	// Slots is how many requests run at once; the others queue by priority.
+	// Slots is the number of requests that run at once; others queue by priority.
 	Slots int
-	// CacheTokens is the size of the prefix cache.
+	// CacheTokens is the size of the prefix cache in tokens.
 	CacheTokens int
-	// ReportLagMs is the age of the load that reports show.
+	// ReportLagMs is the age of the load and the cache events in reports.
 	ReportLagMs clock.Millis
-	// OrderMs is the time an order takes.
+	// OrderMs is the time that an order takes to execute.
 	OrderMs clock.Millis
 }
 
-// EngineFaults are the faults of an engine.
+// EngineFaults are the faults that an engine injects.
 type EngineFaults struct {
-	// FailFast answers every chat at once with status 500.
+	// FailFast answers every chat immediately with status 500.
 	FailFast bool `json:"fail_fast"`
-	// RefuseNotRun answers every chat with 503 and the word that it did not run.
+	// RefuseNotRun answers every chat with 503 and a header that says it did not run.
 	RefuseNotRun bool `json:"refuse_not_run"`
 	// CutAfter breaks the connection of each stream after this many events.
 	CutAfter int `json:"cut_after"`
-	// CutShort ends answers that are not streamed before their length.
+	// CutShort breaks the connection of answers that are not streamed before their
+	// Content-Length is reached.
 	CutShort bool `json:"cut_short"`
-	// EndEarly ends each stream well formed after this many events, without
-	// its closing event.
+	// EndEarly ends each stream cleanly after this many events, without its final
+	// event.
 	EndEarly int `json:"end_early"`
-	// Cross answers with the id of another request.
+	// Cross puts the id of another request into answers.
 	Cross bool `json:"cross"`
 	// Stall stops every stream after this many events without closing it.
 	Stall int `json:"stall"`
-	// ForgetStreams refuses to take up streams again.
+	// ForgetStreams answers 404 to requests that resume a stream.
 	ForgetStreams bool `json:"forget_streams"`
 }
 
-// Engine stands in for a model engine.
+// Engine is a fake model engine.
 type Engine struct {
 	name         string
 	speed        EngineSpeed
@@ -64,73 +65,73 @@
 	tracer       trace.Tracer
 	mux          *http.ServeMux
 	onRun        func(requestID string)
-	// ctx ends with Close, which waits for what runs in the background.
+	// Close cancels ctx and waits for background.
 	ctx        context.Context
 	cancel     context.CancelFunc
 	background sync.WaitGroup
-	// lifeMu guards closed: nothing may start in the background after Close.
-	lifeMu sync.Mutex
-	closed bool
-
-	mu       sync.Mutex
-	models   []string
-	faults   EngineFaults
-	leaving  bool
-	running  int
-	queue    []*queued
-	cache    *prefixCache
-	events   cacheEvents
-	streams  map[string]*generation
-	history  []datedLoad
-	runs     map[string]int
-	orders   orderState
-	finished int
-	maxLoad  int
-	prompt   int
-	cached   int
-	trace    string
+	// closeMu guards closed: no background function may start after Close.
+	closeMu sync.Mutex
+	closed  bool
+
+	mu           sync.Mutex
+	models       []string
+	faults       EngineFaults
+	leaving      bool
+	running      int
+	queue        []*waiter
+	cache        *prefixCache
+	events       cacheEvents
+	streams      map[string]*generation
+	history      []loadSample
+	runs         map[string]int
+	orders       orderState
+	finished     int
+	maxRunning   int
+	promptTokens int
+	cachedTokens int
+	trace        string
 }
 
-type queued struct {
+type waiter struct {
 	priority int
 	ready    chan struct{}
 }
 
-type datedLoad struct {
+type loadSample struct {
 	atMs clock.Millis
 	load engine.Load
 }
 
-// EngineOption changes an Engine under construction.
+// EngineOption configures an Engine in NewEngine.
 type EngineOption func(*Engine)
 
 // WithEngineClock replaces the system clock.
 func WithEngineClock(c clock.Clock) EngineOption { return func(e *Engine) { e.clock = c } }
 
-// WithSpeed sets how the engine's time goes.
+// WithSpeed sets the engine's timing and capacity.
 func WithSpeed(speed EngineSpeed) EngineOption { return func(e *Engine) { e.speed = speed } }
 
-// WithTokenChecks makes the engine refuse orders with stale fencing tokens.
+// WithTokenChecks makes the engine reject orders with stale fencing tokens.
 func WithTokenChecks() EngineOption { return func(e *Engine) { e.checksTokens = true } }
 
-// WithEngineTracer sets the tracer of the engine's spans.
+// WithEngineTracer sets the tracer that records the engine's spans.
 func WithEngineTracer(tracer trace.Tracer) EngineOption {
 	return func(e *Engine) { e.tracer = tracer }
 }
 
-// WithOnRun has a function called with each request that begins to run.
+// WithOnRun sets a function that is called with the id of each request that starts to run.
 func WithOnRun(onRun func(requestID string)) EngineOption {
 	return func(e *Engine) { e.onRun = onRun }
 }
 
-// DefaultSpeed is an engine that is quick enough for tests and the demo.
+// DefaultSpeed returns a timing that is fast enough for tests and the demo.
 func DefaultSpeed() EngineSpeed {
 	return EngineSpeed{
 		PrefillTokensPerMs: 20, TokenMs: 5, Slots: 64, CacheTokens: 64_000, ReportLagMs: clock.Second, OrderMs: 200,
 	}
 }
 
-// NewEngine returns an engine that serves the models.
+// NewEngine returns an engine that serves the given models.
 func NewEngine(name string, models []string, options ...EngineOption) *Engine {
 	e := &Engine{
 		name: name, models: slices.Clone(models), speed: DefaultSpeed(), clock: clock.New(),
@@ -155,21 +156,21 @@
 	return e
 }
 
-// Close stops all that runs in the background and waits for it.
+// Close cancels all background functions and waits for them to return.
 func (e *Engine) Close() {
-	e.lifeMu.Lock()
+	e.closeMu.Lock()
 	e.closed = true
-	e.lifeMu.Unlock()
+	e.closeMu.Unlock()
 	e.cancel()
 	e.background.Wait()
 }
 
-// spawn runs a function in the background, unless the engine is closed.
-func (e *Engine) spawn(do func()) {
-	e.lifeMu.Lock()
-	defer e.lifeMu.Unlock()
+// spawn runs fn in the background unless the engine is closed.
+func (e *Engine) spawn(fn func()) {
+	e.closeMu.Lock()
+	defer e.closeMu.Unlock()
 	if !e.closed {
-		e.background.Go(do)
+		e.background.Go(fn)
 	}
 }
 
@@ -183,38 +184,38 @@
 	change(&e.faults)
 }
 
-// LastTraceparent returns the trace header of the newest chat.
+// LastTraceparent returns the Traceparent header of the most recent chat.
 func (e *Engine) LastTraceparent() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.trace
 }
 
-// SetLeaving makes the engine report that it is about to go.
+// SetLeaving sets whether the engine reports that it is draining.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
 }
 
-// EngineCounts are what an engine has done.
+// EngineCounts counts what an engine has done.
 type EngineCounts struct {
 	Finished     int
 	Running      int
 	MaxRunning   int
 	PromptTokens int
 	CachedTokens int
-	// MaxRuns is the highest number of runs of one request id.
+	// MaxRuns is the maximum number of runs of any one request id.
 	MaxRuns int
 }
 
-// Counts returns what the engine has done.
+// Counts returns the engine's counters.
 func (e *Engine) Counts() EngineCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	counts := EngineCounts{
-		Finished: e.finished, Running: e.running, MaxRunning: e.maxLoad,
-		PromptTokens: e.prompt, CachedTokens: e.cached,
+		Finished: e.finished, Running: e.running, MaxRunning: e.maxRunning,
+		PromptTokens: e.promptTokens, CachedTokens: e.cachedTokens,
 	}
 	for _, runs := range e.runs {
 		counts.MaxRuns = max(counts.MaxRuns, runs)
@@ -242,26 +243,27 @@
 	e.mu.Lock()
 	e.trace = r.Header.Get("Traceparent")
 	e.mu.Unlock()
-	if e.refuse(w, r, &chat) {
+	if e.rejectChat(w, r, &chat) {
 		return
 	}
-	g := e.generate(r, &chat)
+	g := e.startGeneration(r, &chat)
 	if g == nil {
 		return
 	}
 	if chat.Stream {
-		e.streamTo(ctx, w, g, 0)
+		e.sendStream(ctx, w, g, 0)
 		return
 	}
-	e.answerWhole(ctx, w, g)
+	e.sendCompletion(ctx, w, g)
 }
 
-// refuse answers a chat that does not run and reports whether it did so.
-func (e *Engine) refuse(w http.ResponseWriter, r *http.Request, chat *engine.Chat) bool {
+// rejectChat answers a chat that must not run because of a fault or an unknown model. It
+// reports whether it did so.
+func (e *Engine) rejectChat(w http.ResponseWriter, r *http.Request, chat *engine.Chat) bool {
 	e.mu.Lock()
 	faults, known := e.faults, slices.Contains(e.models, chat.Model)
 	e.mu.Unlock()
-	e.stamp(w, r.Header.Get(engine.HeaderRequestID))
+	e.setAnswerHeaders(w, r.Header.Get(engine.HeaderRequestID))
 	switch {
 	case faults.FailFast:
 		http.Error(w, "internal error", http.StatusInternalServerError)
@@ -277,7 +279,7 @@
 	return true
 }
 
-func (e *Engine) stamp(w http.ResponseWriter, requestID string) {
+func (e *Engine) setAnswerHeaders(w http.ResponseWriter, requestID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Cross {
@@ -288,16 +290,17 @@
 	w.Header().Set(engine.HeaderQueued, strconv.Itoa(len(e.queue)))
 }
 
-// enter waits for a slot, by priority.
-func (e *Engine) enter(ctx context.Context, priority int) bool {
+// acquireSlot waits for a slot in order of priority. It reports whether the request got one
+// before ctx ended.
+func (e *Engine) acquireSlot(ctx context.Context, priority int) bool {
 	e.mu.Lock()
 	if e.running < e.speed.Slots {
-		e.occupy()
+		e.takeSlot()
 		e.mu.Unlock()
 		return true
 	}
-	q := &queued{priority: priority, ready: make(chan struct{})}
-	at := slices.IndexFunc(e.queue, func(other *queued) bool { return other.priority < priority })
+	q := &waiter{priority: priority, ready: make(chan struct{})}
+	at := slices.IndexFunc(e.queue, func(other *waiter) bool { return other.priority < priority })
 	if at < 0 {
 		at = len(e.queue)
 	}
@@ -311,8 +314,8 @@
 	}
 }
 
-// leaveQueue returns true when a slot was given at the same moment.
-func (e *Engine) leaveQueue(q *queued) bool {
+// leaveQueue removes q from the queue. It returns true if q was already given a slot.
+func (e *Engine) leaveQueue(q *waiter) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	at := slices.Index(e.queue, q)
@@ -323,13 +326,13 @@
 	return false
 }
 
-func (e *Engine) occupy() {
+func (e *Engine) takeSlot() {
 	e.running++
-	e.maxLoad = max(e.maxLoad, e.running)
-	e.dateLoad()
+	e.maxRunning = max(e.maxRunning, e.running)
+	e.recordLoad()
 }
 
-func (e *Engine) leave() {
+func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
@@ -337,37 +340,37 @@
 	if len(e.queue) > 0 {
 		next := e.queue[0]
 		e.queue = e.queue[1:]
-		e.occupy()
+		e.takeSlot()
 		close(next.ready)
 	}
-	e.dateLoad()
+	e.recordLoad()
 }
 
-const maxDatedLoads = 4096
+const maxLoadSamples = 4096
 
-func (e *Engine) dateLoad() {
-	e.history = append(e.history, datedLoad{atMs: e.clock.Now(), load: e.loadNow()})
-	if len(e.history) > maxDatedLoads {
-		e.history = slices.Clone(e.history[maxDatedLoads/2:])
+func (e *Engine) recordLoad() {
+	e.history = append(e.history, loadSample{atMs: e.clock.Now(), load: e.currentLoad()})
+	if len(e.history) > maxLoadSamples {
+		e.history = slices.Clone(e.history[maxLoadSamples/2:])
 	}
 }
 
-func (e *Engine) loadNow() engine.Load {
+func (e *Engine) currentLoad() engine.Load {
 	return engine.Load{
 		InFlight: e.running, Queued: len(e.queue), Slots: e.speed.Slots,
 		Models: slices.Clone(e.models), Leaving: e.leaving, AtMs: e.clock.Now(),
 	}
 }
 
-// serveLoad answers with the load as it was one lag ago; whether the engine
-// leaves is always fresh.
+// serveLoad answers with the load as of ReportLagMs ago; the draining flag is always
+// current.
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	shown := e.loadNow()
+	shown := e.currentLoad()
 	shown.InFlight, shown.Queued = 0, 0
-	for _, dated := range e.history {
-		if dated.atMs <= e.clock.Now()-e.speed.ReportLagMs {
-			shown.InFlight, shown.Queued = dated.load.InFlight, dated.load.Queued
+	for _, sample := range e.history {
+		if sample.atMs <= e.clock.Now()-e.speed.ReportLagMs {
+			shown.InFlight, shown.Queued = sample.load.InFlight, sample.load.Queued
 		}
 	}
 	shown.AtMs -= e.speed.ReportLagMs
@@ -387,8 +390,8 @@
 	jsonhttp.Write(w, events)
 }
 
-// answerWhole waits for the whole answer and sends it as one.
-func (e *Engine) answerWhole(ctx context.Context, w http.ResponseWriter, g *generation) {
+// sendCompletion waits until the answer is complete and sends it in one body.
+func (e *Engine) sendCompletion(ctx context.Context, w http.ResponseWriter, g *generation) {
 	if !g.wait(ctx) {
 		g.stop()
 		return
@@ -412,7 +415,7 @@
 	if cut {
 		w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 		_, _ = w.Write(data[:len(data)/2])
-		// What is still buffered would never be seen.
+		// Without a flush the client would not receive the buffered half.
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/standin/generation.go
+++ b/internal/standin/generation.go
@@ -12,44 +12,45 @@
 	"dooryard.example/dooryard/internal/engine"
 )
 
-// generation is one answer that an engine makes. It goes on when its connection
-// breaks, so that the stream can be taken up again, until it is cancelled.
+// generation is one answer that an engine generates. It continues when its connection
+// breaks, so that the stream can be resumed, until it is cancelled.
 type generation struct {
 	id    string
 	model string
 	usage engine.Usage
 
-	mu      sync.Mutex
-	frames  []string
-	tokens  []string
-	done    bool
-	grown   chan struct{}
-	cancel  context.CancelFunc
-	readers int
+	mu       sync.Mutex
+	frames   []string
+	tokens   []string
+	done     bool
+	appended chan struct{}
+	cancel   context.CancelFunc
+	readers  int
 }
 
-// abandonedMs is how long an engine goes on with an answer that nobody reads.
-const abandonedMs = 2 * clock.Second
+// abandonTimeoutMs is how long an engine continues an answer that has no readers.
+const abandonTimeoutMs = 2 * clock.Second
 
 const defaultMaxTokens = 16
 
-// generate starts an answer, or returns nil when the caller left the queue.
-func (e *Engine) generate(r *http.Request, chat *engine.Chat) *generation {
+// startGeneration starts an answer once a slot is free. It returns nil if the caller left the
+// queue.
+func (e *Engine) startGeneration(r *http.Request, chat *engine.Chat) *generation {
 	priority, _ := strconv.Atoi(r.Header.Get(engine.HeaderPriority))
-	if !e.enter(r.Context(), priority) {
+	if !e.acquireSlot(r.Context(), priority) {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(e.ctx)
 	g := &generation{
-		id: r.Header.Get(engine.HeaderRequestID), model: chat.Model, grown: make(chan struct{}), cancel: cancel,
+		id: r.Header.Get(engine.HeaderRequestID), model: chat.Model, appended: make(chan struct{}), cancel: cancel,
 	}
-	hashes, promptTokens := chain(chat.Prompt())
+	hashes, promptTokens := prefixHashes(chat.Prompt())
 	e.mu.Lock()
 	cached := e.cache.use(hashes)
 	e.streams[g.id] = g
 	e.runs[g.id]++
-	e.prompt += promptTokens
-	e.cached += cached
+	e.promptTokens += promptTokens
+	e.cachedTokens += cached
 	e.mu.Unlock()
 	e.onRun(g.id)
 	count := chat.MaxTokens
@@ -60,13 +61,13 @@
 		PromptTokens: promptTokens, CompletionTokens: count, TotalTokens: promptTokens + count,
 		Details: engine.UsageDetails{CachedTokens: cached},
 	}
-	e.spawn(func() { e.run(ctx, g, answerTokens(chat, count)) })
+	e.spawn(func() { e.run(ctx, g, completionTokens(chat, count)) })
 	return g
 }
 
-// answerTokens numbers the tokens and marks each with the last message's first
-// word, so that a caller can tell that an answer is whole and its own.
-func answerTokens(chat *engine.Chat, count int) []string {
+// completionTokens returns count tokens. Each holds its index and the first word of the last
+// message, so that a caller can verify that an answer is complete and belongs to its request.
+func completionTokens(chat *engine.Chat, count int) []string {
 	mark := ""
 	if words := strings.Fields(chat.Messages[len(chat.Messages)-1].Content); len(words) > 0 {
 		mark = words[0]
@@ -79,7 +80,7 @@
 }
 
 func (e *Engine) run(ctx context.Context, g *generation, tokens []string) {
-	defer e.end(g)
+	defer e.endGeneration(g)
 	cold := g.usage.PromptTokens - g.usage.Details.CachedTokens
 	if e.clock.Sleep(ctx, clock.Millis(cold/max(1, e.speed.PrefillTokensPerMs))) != nil {
 		return
@@ -88,24 +89,24 @@
 		if i > 0 && e.clock.Sleep(ctx, e.speed.TokenMs) != nil {
 			return
 		}
-		g.add(token)
+		g.addToken(token)
 	}
 	g.finish()
 }
 
-// end frees the slot at once and forgets the stream a little later.
-func (e *Engine) end(g *generation) {
-	e.leave()
+// endGeneration releases the slot immediately and deletes the stream after abandonTimeoutMs.
+func (e *Engine) endGeneration(g *generation) {
+	e.releaseSlot()
 	g.cancel()
 	e.spawn(func() {
-		_ = e.clock.Sleep(e.ctx, abandonedMs)
+		_ = e.clock.Sleep(e.ctx, abandonTimeoutMs)
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		delete(e.streams, g.id)
 	})
 }
 
-func (g *generation) add(token string) {
+func (g *generation) addToken(token string) {
 	chunk, _ := json.Marshal(engine.Completion{
 		ID: g.id, Object: "chat.completion.chunk", Model: g.model,
 		Choices: []engine.Choice{{Delta: &engine.Message{Content: token}}},
@@ -113,13 +114,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tokens = append(g.tokens, token)
-	g.push(string(chunk))
+	g.appendFrame(string(chunk))
 }
 
-func (g *generation) push(data string) {
+func (g *generation) appendFrame(data string) {
 	g.frames = append(g.frames, eventFrame(int64(len(g.frames)), data))
-	close(g.grown)
-	g.grown = make(chan struct{})
+	close(g.appended)
+	g.appended = make(chan struct{})
 }
 
 func (g *generation) finish() {
@@ -131,9 +132,9 @@
 	})
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.push(string(last))
+	g.appendFrame(string(last))
 	g.done = true
-	g.push(engine.Done)
+	g.appendFrame(engine.Done)
 }
 
 func (g *generation) text() string {
@@ -142,8 +143,8 @@
 	return strings.Join(g.tokens, "")
 }
 
-// frame returns a frame, or a channel to wait on, or neither when there is none
-// to come.
+// frame returns the frame at index, or a channel that is closed when more frames exist, or
+// neither at the end of the stream.
 func (g *generation) frame(index int) (frame string, wait <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -153,20 +154,20 @@
 	if g.done {
 		return "", nil
 	}
-	return "", g.grown
+	return "", g.appended
 }
 
-// wait returns true when the whole answer is there.
+// wait waits for the end of the answer and reports whether it came before ctx ended.
 func (g *generation) wait(ctx context.Context) bool {
 	for {
 		g.mu.Lock()
-		done, grown := g.done, g.grown
+		done, appended := g.done, g.appended
 		g.mu.Unlock()
 		if done {
 			return true
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-ctx.Done():
 			return false
 		}
@@ -175,16 +176,16 @@
 
 func (g *generation) stop() { g.cancel() }
 
-func (g *generation) addReader(change int) int {
+func (g *generation) addReaders(delta int) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.readers += change
+	g.readers += delta
 	return g.readers
 }
 
-// streamTo sends the events from an offset on.
-func (e *Engine) streamTo(ctx context.Context, w http.ResponseWriter, g *generation, from int) {
-	g.addReader(1)
+// sendStream sends the events starting at an offset.
+func (e *Engine) sendStream(ctx context.Context, w http.ResponseWriter, g *generation, from int) {
+	g.addReaders(1)
 	defer e.stopAbandoned(g)
 	w.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(w)
@@ -198,7 +199,7 @@
 			}
 			frame, wait = g.frame(index)
 		}
-		if frame == "" || !e.faultsAllow(ctx, index-from) {
+		if frame == "" || !e.applyStreamFaults(ctx, index-from) {
 			return
 		}
 		if _, err := w.Write([]byte(frame)); err != nil {
@@ -210,8 +211,9 @@
 	}
 }
 
-// faultsAllow carries out the stream faults that are due after so many events.
-func (e *Engine) faultsAllow(ctx context.Context, sent int) bool {
+// applyStreamFaults applies the faults that are due after the given number of sent events. It
+// reports whether the stream goes on.
+func (e *Engine) applyStreamFaults(ctx context.Context, sent int) bool {
 	e.mu.Lock()
 	faults := e.faults
 	e.mu.Unlock()
@@ -228,14 +230,15 @@
 	return true
 }
 
-// stopAbandoned ends a generation that nobody has read for a while.
+// stopAbandoned removes a reader, and cancels the generation if it has no readers after
+// abandonTimeoutMs.
 func (e *Engine) stopAbandoned(g *generation) {
-	if g.addReader(-1) > 0 {
+	if g.addReaders(-1) > 0 {
 		return
 	}
 	e.spawn(func() {
-		_ = e.clock.Sleep(e.ctx, abandonedMs)
-		if g.addReader(0) == 0 {
+		_ = e.clock.Sleep(e.ctx, abandonTimeoutMs)
+		if g.addReaders(0) == 0 {
 			g.stop()
 		}
 	})
@@ -255,8 +258,8 @@
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
-	e.stamp(w, g.id)
-	e.streamTo(r.Context(), w, g, from)
+	e.setAnswerHeaders(w, g.id)
+	e.sendStream(r.Context(), w, g, from)
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -15,23 +15,22 @@
 	"dooryard.example/dooryard/internal/jsonhttp"
 )
 
-// LogFaults are the faults of the log. All fields may be changed at any time
-// through Log.SetFaults.
+// LogFaults are the faults that the log injects. Log.SetFaults may change them at any time.
 type LogFaults struct {
-	// Down refuses every call.
+	// Down rejects every call.
 	Down bool `json:"down"`
-	// AppendsDown refuses appends only.
+	// AppendsDown rejects appends only.
 	AppendsDown bool `json:"appends_down"`
-	// LoseReplies is how many of the next appends take effect and then lose
-	// their reply.
+	// LoseReplies is the number of following appends that take effect but lose their
+	// reply.
 	LoseReplies int `json:"lose_replies"`
 	// DelayMs is added to every call.
 	DelayMs clock.Millis `json:"delay_ms"`
-	// DownFor lists callers, by the X-Box header, that are cut off.
+	// DownFor lists the boxes, by the X-Box header, whose calls are rejected.
 	DownFor []string `json:"down_for"`
 }
 
-// HeaderBox names the calling box, for faults that cut off single boxes.
+// HeaderBox is the header that names the calling box, for faults that affect single boxes.
 const HeaderBox = "X-Box"
 
 // Log is an append-only log with numbered records, limited retention and a
@@ -49,12 +48,12 @@
 }
 
 type stream struct {
-	first   int64
-	records []backing.Record
-	grown   chan struct{}
+	first    int64
+	records  []backing.Record
+	appended chan struct{}
 }
 
-// LogOption changes a Log under construction.
+// LogOption configures a Log in NewLog.
 type LogOption func(*Log)
 
 // WithLogClock replaces the system clock.
@@ -63,7 +62,7 @@
 // WithRetention sets how long records are kept.
 func WithRetention(span clock.Millis) LogOption { return func(l *Log) { l.retentionMs = span } }
 
-// WithAppendRate limits appends a second.
+// WithAppendRate limits the number of appends per second.
 func WithAppendRate(perSecond int) LogOption {
 	return func(l *Log) { l.limiter = rate.NewLimiter(rate.Limit(perSecond), perSecond) }
 }
@@ -75,7 +74,7 @@
 	maxPageRecords     = 10_000
 	throttleStatus     = http.StatusTooManyRequests
 	downStatus         = http.StatusServiceUnavailable
-	lostStatus         = http.StatusGatewayTimeout
+	replyLostStatus    = http.StatusGatewayTimeout
 	pathStream         = "stream"
 )
 
@@ -96,14 +95,14 @@
 	change(&l.faults)
 }
 
-// Counts returns how many appends were taken and reads answered.
+// Counts returns the number of accepted appends and of answered reads.
 func (l *Log) Counts() (appends, reads int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends, l.reads
 }
 
-// Routes adds the log's calls to a mux.
+// Routes registers the log's handlers on a mux.
 func (l *Log) Routes(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/logs/{stream}/records", l.serveAppend)
 	mux.HandleFunc("GET /v1/logs/{stream}/records", l.serveRead)
@@ -119,8 +118,8 @@
 	jsonhttp.Write(w, faults)
 }
 
-// begin applies delays and outages and reports whether the call goes on.
-func (l *Log) begin(w http.ResponseWriter, r *http.Request, isAppend bool) bool {
+// applyFaults applies delays and outages to a call and reports whether the call goes on.
+func (l *Log) applyFaults(w http.ResponseWriter, r *http.Request, isAppend bool) bool {
 	l.mu.Lock()
 	faults := l.faults
 	l.mu.Unlock()
@@ -136,22 +135,22 @@
 
 func (l *Log) serveAppend(w http.ResponseWriter, r *http.Request) {
 	var request backing.AppendRequest
-	if !readJSON(w, r, &request) || !l.begin(w, r, true) {
+	if !readJSON(w, r, &request) || !l.applyFaults(w, r, true) {
 		return
 	}
 	if !l.limiter.AllowN(l.clock.Now().Time(), 1) {
 		http.Error(w, "too many appends", throttleStatus)
 		return
 	}
-	offset, lost := l.take(r.PathValue(pathStream), request.Records)
+	offset, lost := l.acceptAppend(r.PathValue(pathStream), request.Records)
 	if lost {
-		http.Error(w, "reply lost", lostStatus)
+		http.Error(w, "reply lost", replyLostStatus)
 		return
 	}
 	jsonhttp.Write(w, backing.AppendReply{Offset: offset})
 }
 
-func (l *Log) take(name string, records []json.RawMessage) (offset int64, lost bool) {
+func (l *Log) acceptAppend(name string, records []json.RawMessage) (offset int64, lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.appends++
@@ -163,7 +162,7 @@
 	return offset, false
 }
 
-// Append adds records without going through the network.
+// Append adds records directly, without a network call, and returns the offset of the first.
 func (l *Log) Append(name string, records ...json.RawMessage) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,30 +177,30 @@
 		s.records = append(s.records, backing.Record{Offset: offset + int64(i), TimeMs: now, Data: data})
 	}
 	l.expire(s, now)
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return offset
 }
 
 func (l *Log) stream(name string) *stream {
 	s := l.streams[name]
 	if s == nil {
-		s = &stream{grown: make(chan struct{})}
+		s = &stream{appended: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
 }
 
 func (l *Log) expire(s *stream, now clock.Millis) {
-	done := 0
-	for done < len(s.records) && s.records[done].TimeMs+l.retentionMs <= now {
-		done++
+	expired := 0
+	for expired < len(s.records) && s.records[expired].TimeMs+l.retentionMs <= now {
+		expired++
 	}
-	s.records = s.records[done:]
-	s.first += int64(done)
+	s.records = s.records[expired:]
+	s.first += int64(expired)
 }
 
-// Expire forgets all records of a stream before an offset, as retention would.
+// Expire removes all records of a stream before an offset, as retention would.
 func (l *Log) Expire(name string, before int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -212,7 +211,7 @@
 }
 
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) {
-	if !l.begin(w, r, false) {
+	if !l.applyFaults(w, r, false) {
 		return
 	}
 	query := r.URL.Query()
@@ -226,29 +225,29 @@
 	jsonhttp.Write(w, l.Read(r, from, min(limit, maxPageRecords), min(clock.Millis(wait), maxWaitMs)))
 }
 
-// Read returns the records of the stream that a request names, after waiting
-// for the first one.
+// Read returns records of the stream that a request names. If there are none, it waits up to
+// waitMs for the first one.
 func (l *Log) Read(r *http.Request, from int64, limit int, waitMs clock.Millis) backing.Page {
 	name := r.PathValue(pathStream)
 	until := l.clock.Now() + waitMs
 	for {
-		page, grown := l.page(name, from, limit)
+		page, appended := l.page(name, from, limit)
 		remaining := until - l.clock.Now()
 		if len(page.Records) > 0 || from < page.FirstOffset || remaining <= 0 {
 			return page
 		}
-		if !l.wait(r, grown, remaining) {
+		if !l.wait(r, appended, remaining) {
 			return page
 		}
 	}
 }
 
-// wait returns true when the stream has grown within the span.
-func (l *Log) wait(r *http.Request, grown <-chan struct{}, span clock.Millis) bool {
-	ctx, cancel := context.WithTimeout(r.Context(), span.Duration())
+// wait reports whether records were appended to the stream before the timeout.
+func (l *Log) wait(r *http.Request, appended <-chan struct{}, timeout clock.Millis) bool {
+	ctx, cancel := context.WithTimeout(r.Context(), timeout.Duration())
 	defer cancel()
 	select {
-	case <-grown:
+	case <-appended:
 		return true
 	case <-ctx.Done():
 		return false
@@ -265,5 +264,5 @@
 		rest := s.records[from-s.first:]
 		page.Records = rest[:min(limit, len(rest))]
 	}
-	return page, s.grown
+	return page, s.appended
 }
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -8,20 +8,20 @@
 	"dooryard.example/dooryard/internal/jsonhttp"
 )
 
-// orderState is what an engine knows of its orders.
+// orderState is an engine's record of its orders.
 type orderState struct {
 	newestToken int64
 	outstanding string
-	// taken are the orders that were carried out or begun, in order.
-	taken []engine.Order
-	// overlaps counts orders that came while another was outstanding.
+	// accepted are the orders that were accepted, in the order of their arrival.
+	accepted []engine.Order
+	// overlaps counts orders that arrived while another was outstanding.
 	overlaps int
-	// stale counts orders taken with a token older than the newest seen, by an
-	// engine that does not check.
+	// stale counts orders that arrived with a fencing token older than the newest one,
+	// at an engine that does not check tokens.
 	stale int
 }
 
-// OrderCounts are what an engine has seen of orders.
+// OrderCounts summarises the orders that an engine received, and its models.
 type OrderCounts struct {
 	Taken    []engine.Order
 	Overlaps int
@@ -29,12 +29,12 @@
 	Models   []string
 }
 
-// Orders returns what the engine has seen of orders.
+// Orders returns a summary of the engine's orders.
 func (e *Engine) Orders() OrderCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return OrderCounts{
-		Taken: slices.Clone(e.orders.taken), Overlaps: e.orders.overlaps,
+		Taken: slices.Clone(e.orders.accepted), Overlaps: e.orders.overlaps,
 		Stale: e.orders.stale, Models: slices.Clone(e.models),
 	}
 }
@@ -53,11 +53,11 @@
 	if !readJSON(w, r, &order) {
 		return
 	}
-	status := e.takeOrder(order)
+	status := e.acceptOrder(order)
 	w.WriteHeader(status)
 }
 
-func (e *Engine) takeOrder(order engine.Order) int {
+func (e *Engine) acceptOrder(order engine.Order) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.Token < e.orders.newestToken {
@@ -72,12 +72,12 @@
 	}
 	e.orders.newestToken = max(e.orders.newestToken, order.Token)
 	e.orders.outstanding = order.ID
-	e.orders.taken = append(e.orders.taken, order)
-	e.spawn(func() { e.carryOut(order) })
+	e.orders.accepted = append(e.orders.accepted, order)
+	e.spawn(func() { e.executeOrder(order) })
 	return http.StatusAccepted
 }
 
-func (e *Engine) carryOut(order engine.Order) {
+func (e *Engine) executeOrder(order engine.Order) {
 	_ = e.clock.Sleep(e.ctx, e.speed.OrderMs)
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -15,7 +15,7 @@
 	"dooryard.example/dooryard/internal/jsonhttp"
 )
 
-// Platform stands in for the log, the weight store and the list of boxes.
+// Platform is a fake of the log, the weight store and the list of boxes.
 type Platform struct {
 	Log     *Log
 	Weights *Weights
@@ -23,7 +23,7 @@
 	mux     *http.ServeMux
 }
 
-// NewPlatform returns a platform around a log.
+// NewPlatform returns a platform that serves the given parts.
 func NewPlatform(log *Log, weights *Weights, boxes *Boxes) *Platform {
 	p := &Platform{Log: log, Weights: weights, Boxes: boxes, mux: http.NewServeMux()}
 	log.Routes(p.mux)
@@ -35,7 +35,7 @@
 // ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
-// Weights is a weight store that lets a limited number of loads start.
+// Weights is a weight store that limits the rate at which loads may start.
 type Weights struct {
 	clock   clock.Clock
 	limiter *rate.Limiter
@@ -45,14 +45,14 @@
 	refused  int
 }
 
-// NewWeights returns a store that allows this many loads a minute.
+// NewWeights returns a store that allows the given number of loads per minute.
 func NewWeights(c clock.Clock, perMinute int) *Weights {
 	const secondsPerMinute = 60
 	limit := rate.Limit(float64(perMinute) / secondsPerMinute)
 	return &Weights{clock: c, limiter: rate.NewLimiter(limit, 1)}
 }
 
-// Counts returns how many reservations were given and refused.
+// Counts returns the number of granted and of rejected reservations.
 func (s *Weights) Counts() (reserved, refused int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,41 +75,41 @@
 	jsonhttp.Write(w, struct{}{})
 }
 
-// Boxes is a list of boxes and upstreams that lags behind the truth.
+// Boxes is a list of boxes and upstreams whose changes become visible after a lag.
 type Boxes struct {
 	clock clock.Clock
 	lagMs clock.Millis
 
 	mu      sync.Mutex
-	history []datedList
+	history []listVersion
 	down    bool
 }
 
-// datedList is the truth from an instant on.
-type datedList struct {
+// listVersion is the content of the list from fromMs on.
+type listVersion struct {
 	fromMs clock.Millis
 	list   backing.BoxListReply
 }
 
-// NewBoxes returns an empty list that lags by a span.
+// NewBoxes returns an empty list whose changes become visible after lagMs.
 func NewBoxes(c clock.Clock, lagMs clock.Millis) *Boxes {
-	return &Boxes{clock: c, lagMs: lagMs, history: []datedList{{}}}
+	return &Boxes{clock: c, lagMs: lagMs, history: []listVersion{{}}}
 }
 
-// Set changes the truth; the list shows it after its lag.
+// Set changes the list; the change becomes visible after the lag.
 func (b *Boxes) Set(change func(list *backing.BoxListReply)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	next := clone(b.history[len(b.history)-1].list)
+	next := cloneList(b.history[len(b.history)-1].list)
 	change(&next)
-	b.history = append(b.history, datedList{fromMs: b.clock.Now(), list: next})
+	b.history = append(b.history, listVersion{fromMs: b.clock.Now(), list: next})
 }
 
-// shown is the truth as it was one lag ago.
-func (b *Boxes) shown() backing.BoxListReply {
+// visibleList returns the list as of one lag ago.
+func (b *Boxes) visibleList() backing.BoxListReply {
 	visible := 0
-	for i, dated := range b.history {
-		if dated.fromMs+b.lagMs <= b.clock.Now() {
+	for i, version := range b.history {
+		if version.fromMs+b.lagMs <= b.clock.Now() {
 			visible = i
 		}
 	}
@@ -117,14 +117,14 @@
 	return b.history[0].list
 }
 
-// SetDown makes the list unreachable.
+// SetDown sets whether calls to the list fail.
 func (b *Boxes) SetDown(down bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.down = down
 }
 
-func clone(list backing.BoxListReply) backing.BoxListReply {
+func cloneList(list backing.BoxListReply) backing.BoxListReply {
 	return backing.BoxListReply{
 		Boxes:     append([]backing.ListedBox(nil), list.Boxes...),
 		Upstreams: append([]backing.ListedBox(nil), list.Upstreams...),
@@ -143,13 +143,13 @@
 		http.Error(w, "list is down", downStatus)
 		return
 	}
-	list := ofDomain(b.shown(), r.URL.Query().Get("failure_domain"))
-	version := versionOf(list)
-	if r.Header.Get("If-None-Match") == version {
+	list := filterByDomain(b.visibleList(), r.URL.Query().Get("failure_domain"))
+	etag := etagOf(list)
+	if r.Header.Get("If-None-Match") == etag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	w.Header().Set("Etag", version)
+	w.Header().Set("Etag", etag)
 	jsonhttp.Write(w, list)
 }
 
@@ -158,21 +158,21 @@
 	if !readJSON(w, r, &list) {
 		return
 	}
-	b.Set(func(actual *backing.BoxListReply) { *actual = list })
+	b.Set(func(current *backing.BoxListReply) { *current = list })
 	jsonhttp.Write(w, list)
 }
 
-// ofDomain returns the part of a list that stands in a failure domain; all of it
-// when the domain is empty.
-func ofDomain(list backing.BoxListReply, domain string) backing.BoxListReply {
-	elsewhere := func(b backing.ListedBox) bool { return domain != "" && b.FailureDomain != domain }
-	kept := clone(list)
-	kept.Boxes = slices.DeleteFunc(kept.Boxes, elsewhere)
-	kept.Upstreams = slices.DeleteFunc(kept.Upstreams, elsewhere)
+// filterByDomain returns the entries of a list that are in a failure domain, or all entries
+// if the domain is empty.
+func filterByDomain(list backing.BoxListReply, domain string) backing.BoxListReply {
+	outside := func(b backing.ListedBox) bool { return domain != "" && b.FailureDomain != domain }
+	kept := cloneList(list)
+	kept.Boxes = slices.DeleteFunc(kept.Boxes, outside)
+	kept.Upstreams = slices.DeleteFunc(kept.Upstreams, outside)
 	return kept
 }
 
-func versionOf(list backing.BoxListReply) string {
+func etagOf(list backing.BoxListReply) string {
 	data, err := json.Marshal(list)
 	if err != nil {
 		return ""
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -10,8 +10,7 @@
 	"dooryard.example/dooryard/internal/jsonhttp"
 )
 
-// Server stands in for one server of a plain service. It counts how often each
-// key ran.
+// Server is a fake server of a plain service. It counts how often each idempotency key ran.
 type Server struct {
 	name   string
 	clock  clock.Clock
@@ -21,42 +20,42 @@
 	faults ServerFaults
 }
 
-// ServerFaults are the faults of a plain service's server.
+// ServerFaults are the faults that a Server injects.
 type ServerFaults struct {
-	// DelayMs is the time a call takes.
+	// DelayMs is the time that a call takes.
 	DelayMs clock.Millis `json:"delay_ms"`
-	// DropAnswer runs the call and breaks the connection instead of answering.
+	// DropAnswer runs the call, then breaks the connection without an answer.
 	DropAnswer bool `json:"drop_answer"`
-	// Fail answers with status 500 after the call ran.
+	// Fail runs the call, then answers with status 500.
 	Fail bool `json:"fail"`
-	// NoEcho leaves out the request's id.
+	// NoEcho omits the request's id from the answer.
 	NoEcho bool `json:"no_echo"`
 }
 
-// RunLedger counts the runs of each key over all servers of a service.
+// RunLedger counts the runs of each idempotency key over all servers of a service.
 type RunLedger struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// NewRunLedger returns an empty ledger.
+// NewRunLedger returns a RunLedger without runs.
 func NewRunLedger() *RunLedger { return &RunLedger{runs: map[string]int{}} }
 
-// Add counts a run.
+// Add counts one run of a key.
 func (l *RunLedger) Add(key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[key]++
 }
 
-// Runs returns the runs of a key.
+// Runs returns the number of runs of a key.
 func (l *RunLedger) Runs(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[key]
 }
 
-// All returns a copy of all runs by key.
+// All returns the number of runs of each key.
 func (l *RunLedger) All() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,7 +66,7 @@
 	return runs
 }
 
-// NewServer returns a server that counts its runs in a ledger.
+// NewServer returns a server that counts its runs in ledger.
 func NewServer(name string, ledger *RunLedger, c clock.Clock) *Server {
 	return &Server{name: name, ledger: ledger, clock: c}
 }
@@ -79,7 +78,7 @@
 	change(&s.faults)
 }
 
-// ServiceReply is what a call answers.
+// ServiceReply is the answer to a call.
 type ServiceReply struct {
 	Server string `json:"server"`
 	Method string `json:"method"`
