--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws figures as SVG.
+// Package chart renders bar charts as SVG.
 package chart
 
 import (
@@ -12,46 +12,46 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Bar is a figure with its error, in the unit of the axis.
+// Bar is a named value and its error, in the unit of the axis.
 type Bar struct {
 	Name  string
 	Value float64
 	Error float64
 }
 
-// Sizes of a chart.
+// Dimensions of a chart.
 const (
-	width    = 16 * vg.Centimeter
-	barWidth = 0.5 * vg.Centimeter
-	perBar   = 1.1 * vg.Centimeter
-	margins  = 3 * vg.Centimeter
+	width     = 16 * vg.Centimeter
+	barWidth  = 0.5 * vg.Centimeter
+	rowHeight = 1.1 * vg.Centimeter
+	margins   = 3 * vg.Centimeter
 )
 
-// Bars draws horizontal bars with error bars, the first on top.
+// Bars writes an SVG chart of horizontal bars with error bars. The first bar is on top.
 func Bars(out io.Writer, title, axis string, bars []Bar) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = title, axis
 	values, points := make(plotter.Values, len(bars)), errorBars{}
 	names := make([]string, len(bars))
 	for i, bar := range bars {
-		// The first position is the lowest one.
-		at := len(bars) - 1 - i
-		values[at], names[at] = bar.Value, bar.Name
-		points.XYs = append(points.XYs, plotter.XY{X: bar.Value, Y: float64(at)})
+		// Position 0 is at the bottom of the chart.
+		position := len(bars) - 1 - i
+		values[position], names[position] = bar.Value, bar.Name
+		points.XYs = append(points.XYs, plotter.XY{X: bar.Value, Y: float64(position)})
 		points.XErrors = append(points.XErrors, struct{ Low, High float64 }{bar.Error, bar.Error})
 	}
 	chart, err := plotter.NewBarChart(values, barWidth)
 	if err != nil {
-		return fmt.Errorf("bars: %w", err)
+		return fmt.Errorf("create bars: %w", err)
 	}
 	chart.Horizontal = true
-	whiskers, err := plotter.NewXErrorBars(points)
+	xErrors, err := plotter.NewXErrorBars(points)
 	if err != nil {
-		return fmt.Errorf("error bars: %w", err)
+		return fmt.Errorf("create error bars: %w", err)
 	}
-	p.Add(plotter.NewGrid(), chart, whiskers)
+	p.Add(plotter.NewGrid(), chart, xErrors)
 	p.NominalY(names...)
-	canvas := vgsvg.New(width, margins+perBar*vg.Length(len(bars)))
+	canvas := vgsvg.New(width, margins+rowHeight*vg.Length(len(bars)))
 	p.Draw(draw.New(canvas))
 	if _, err := canvas.WriteTo(out); err != nil {
 		return fmt.Errorf("write chart: %w", err)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// errorBars are points with what may lie to their left and right.
+// errorBars are points with an error to their left and right.
 type errorBars struct {
 	plotter.XYs
 	plotter.XErrors
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// assertWellFormed checks that XML can be read to its end.
+// assertWellFormed checks that data is well-formed XML.
 func assertWellFormed(t *testing.T, data []byte) {
 	t.Helper()
 	decoder := xml.NewDecoder(bytes.NewReader(data))
@@ -33,5 +33,5 @@
 		assert.Contains(t, out.String(), text)
 	}
 	require.NoError(t, Bars(&again, "a title", "worth", bars))
-	assert.Equal(t, out.String(), again.String(), "the same figures give the same file")
+	assert.Equal(t, out.String(), again.String(), "equal input gives equal output")
 }
