--- a/internal/soak/disturbances.go
+++ b/internal/soak/disturbances.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// everywhere stands for all boxes, as when the store is disturbed.
-const everywhere = ""
+// allBoxes is the name under which disturbances of all boxes are recorded, such as store faults.
+const allBoxes = ""
 
-// span is a time in which something was disturbed; it is open while its end is zero.
-type span struct {
+// interval is a time during which something was disturbed. It is open while its end is zero.
+type interval struct {
 	from, to time.Time
 }
 
-// touch notes which boxes and servers were disturbed, and when.
-type touch map[string][]*span
+// disturbances records by name when boxes and servers were disturbed.
+type disturbances map[string][]*interval
 
-// begin notes that something is disturbed from now on, and returns what notes the end.
-func (t touch) begin(name string, now time.Time) *span {
-	s := &span{from: now}
-	t[name] = append(t[name], s)
+// begin records that name is disturbed from now on. The caller sets the end of the returned
+// interval.
+func (d disturbances) begin(name string, now time.Time) *interval {
+	s := &interval{from: now}
+	d[name] = append(d[name], s)
 	return s
 }
 
-// calm reports whether a name was undisturbed throughout a time.
-func (t touch) calm(name string, from, to time.Time) bool {
-	for _, s := range t[name] {
+// undisturbed reports whether name was undisturbed during the whole given time.
+func (d disturbances) undisturbed(name string, from, to time.Time) bool {
+	for _, s := range d[name] {
 		if s.from.Before(to) && (s.to.IsZero() || s.to.After(from)) {
 			return false
 		}
@@ -30,25 +31,26 @@
 	return true
 }
 
-// disturb notes that a box, a server, or everything is disturbed from now on. Call the
-// function it returns when that ends.
+// disturb records that a box, a server or all boxes are disturbed from now on. The returned
+// function records the end.
 func (f *fleet) disturb(name string) (end func()) {
-	l := f.ledger
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	s := l.touch.begin(name, time.Now())
+	h := f.history
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	s := h.disturbances.begin(name, time.Now())
 	return func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
+		h.mu.Lock()
+		defer h.mu.Unlock()
 		s.to = time.Now()
 	}
 }
 
-// disturbing lets a fault that strikes one thing note for how long it does.
-func disturbing(f *fleet, name string, end func(f *fleet) error, err error) (func(f *fleet) error, error) {
-	undisturb := f.disturb(name)
+// withDisturbance records that name is disturbed until the returned function ends the fault. It
+// passes err through.
+func withDisturbance(f *fleet, name string, end func(f *fleet) error, err error) (func(f *fleet) error, error) {
+	endDisturbance := f.disturb(name)
 	return func(f *fleet) error {
-		defer undisturb()
+		defer endDisturbance()
 		return end(f)
 	}, err
 }
--- a/internal/soak/fatal.go
+++ b/internal/soak/fatal.go
@@ -9,22 +9,23 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// Requests that end their servers. One client sends the same request again and again under new
-// ids, at any box; each server that begins to run it ends, and is back after a while, under its
-// id or another.
+// Fatal requests crash the servers that run them. One client sends the same request repeatedly
+// under new ids to random boxes. Each server that starts to run it crashes and restarts after a
+// delay, under its old id or a new one.
 const (
-	fatalTenant    = "tenant-0"
-	fatalGapMs     = 700
-	fatalBackMs    = 1500
-	fatalDeadlineM = 2000
-	// fatalEnds is after how many ends boxes must hold the request back, and fatalMost how
-	// often those that are in touch may still send it later than contactSpan after that.
-	fatalEnds = 3
-	fatalMost = 3
+	fatalTenant     = "tenant-0"
+	fatalGapMs      = 700
+	fatalRestartMs  = 1500
+	fatalDeadlineMs = 2000
+	// fatalCrashLimit is the number of crashes after which boxes must quarantine the request.
+	// maxLateFatalSends is how often undisturbed boxes may still send it later than
+	// undisturbedSpan after that.
+	fatalCrashLimit   = 3
+	maxLateFatalSends = 3
 )
 
-// fatalClient sends the request until the context ends.
-func (f *fleet) fatalClient(ctx context.Context) {
+// runFatalClient sends the fatal request until ctx ends.
+func (f *fleet) runFatalClient(ctx context.Context) {
 	random := rand.New(rand.NewPCG(f.settings.Seed, 3))
 	clients := make([]*standin.Client, len(f.boxes))
 	for i, b := range f.boxes {
@@ -36,103 +37,106 @@
 		f.mu.Unlock()
 		call := standin.Call{
 			ID: fmt.Sprintf("%d-fatal-%d", f.settings.Seed, sequence), Kind: standin.Stream, Key: key,
-			DeadlineMs: fatalDeadlineM, Sends: standin.FatalBody,
+			DeadlineMs: fatalDeadlineMs, Sends: standin.FatalBody,
 		}
-		f.ledger.noteOutcome(clients[random.IntN(len(clients))].Do(context.WithoutCancel(ctx), call))
-		time.Sleep(time.Duration(leastMs+random.IntN(fatalGapMs)) * time.Millisecond)
+		f.history.recordOutcome(clients[random.IntN(len(clients))].Do(context.WithoutCancel(ctx), call))
+		time.Sleep(time.Duration(minDelayMs+random.IntN(fatalGapMs)) * time.Millisecond)
 	}
 }
 
-// endUnder ends a server's current incarnation under a request, and starts it again later.
-func (f *fleet) endUnder(s *server, ended *standin.Server) {
+// crashOnFatal crashes a server's current incarnation, which runs a fatal request, and restarts
+// the server after a delay.
+func (f *fleet) crashOnFatal(s *server, crashed *standin.Server) {
 	s.mu.Lock()
-	again := s.current == ended && !s.down
-	s.down = s.down || again
+	alive := s.current == crashed && !s.down
+	s.down = s.down || alive
 	s.mu.Unlock()
-	if !again {
+	if !alive {
 		return
 	}
-	f.ledger.noteEnd()
+	f.history.recordCrash()
 	s.link.set(linkRefused)
-	back := time.Duration(leastMs+f.draw(fatalBackMs)) * time.Millisecond
+	restartDelay := time.Duration(minDelayMs+f.draw(fatalRestartMs)) * time.Millisecond
 	keepID := f.draw(2) == 0
-	f.ends.Go(func() {
-		time.Sleep(back)
-		s.link.set(linkWell)
-		f.startAgain(s, keepID)
+	f.background.Go(func() {
+		time.Sleep(restartDelay)
+		s.link.set(linkHealthy)
+		f.restartServer(s, keepID)
 	})
 }
 
-// startAgain starts a server's next incarnation, under its id or another.
-func (f *fleet) startAgain(s *server, keepID bool) {
-	f.entries.Lock()
-	defer f.entries.Unlock()
+// restartServer starts a server's next incarnation, under its old id or a new one.
+func (f *fleet) restartServer(s *server, keepID bool) {
+	f.entriesMu.Lock()
+	defer f.entriesMu.Unlock()
 	if !keepID {
 		f.store.RemoveServer(s.id())
-		f.incarnate(s)
+		f.startIncarnation(s)
 		return
 	}
 	s.mu.Lock()
 	s.current, s.down = f.newServer(s, s.current.ID), false
 	s.mu.Unlock()
-	f.announce(s, false)
+	f.writeEntry(s, false)
 }
 
-// noteEnd notes that a server ended under the fatal request.
-func (l *ledger) noteEnd() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.ends = append(l.ends, time.Now())
+// recordCrash records that a server crashed under the fatal request.
+func (h *history) recordCrash() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.crashes = append(h.crashes, time.Now())
 }
 
-// fatalFigures are the servers that ended under the fatal request, how often it ran after the
-// third end, disturbed boxes included, and how long after that it last did.
-type fatalFigures struct{ Ends, After, LastMs int }
+// fatalStats holds the number of servers that crashed under the fatal request, how often it ran
+// after the third crash, including runs sent by disturbed boxes, and how long after the third
+// crash it last ran.
+type fatalStats struct{ Ends, After, LastMs int }
 
-func (l *ledger) fatalFigures() fatalFigures {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	figures := fatalFigures{Ends: len(l.ends)}
-	if len(l.ends) < fatalEnds {
-		return figures
+func (h *history) fatalStats() fatalStats {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	stats := fatalStats{Ends: len(h.crashes)}
+	if len(h.crashes) < fatalCrashLimit {
+		return stats
 	}
-	third := l.ends[fatalEnds-1]
-	for _, o := range l.outcomes {
+	limitReached := h.crashes[fatalCrashLimit-1]
+	for _, o := range h.outcomes {
 		if o.Sends != standin.FatalBody {
 			continue
 		}
-		for _, run := range l.runs[o.ID] {
-			if run.Began.After(third) {
-				figures.After++
-				figures.LastMs = max(figures.LastMs, int(run.Began.Sub(third).Milliseconds()))
+		for _, run := range h.runs[o.ID] {
+			if run.Began.After(limitReached) {
+				stats.After++
+				stats.LastMs = max(stats.LastMs, int(run.Began.Sub(limitReached).Milliseconds()))
 			}
 		}
 	}
-	return figures
+	return stats
 }
 
-// checkFatal looks how often boxes that were in touch sent the fatal request later than they
-// may.
-func (l *ledger) checkFatal() []finding {
-	if len(l.ends) < fatalEnds {
+// checkFatal checks how often undisturbed boxes sent the fatal request after the time by which
+// they must have quarantined it.
+func (h *history) checkFatal() []violation {
+	if len(h.crashes) < fatalCrashLimit {
 		return nil
 	}
-	from := l.ends[fatalEnds-1].Add(contactSpan + lateSlack)
-	late, last := 0, ""
-	for _, o := range l.outcomes {
+	from := h.crashes[fatalCrashLimit-1].Add(undisturbedSpan + timingSlack)
+	late, lastID := 0, ""
+	for _, o := range h.outcomes {
 		if o.Sends != standin.FatalBody {
 			continue
 		}
-		for _, run := range l.runs[o.ID] {
-			inTouch := l.touch.calm(everywhere, run.Began.Add(-contactSpan), run.Began) &&
-				l.touch.calm(o.Box, run.Began.Add(-contactSpan), run.Began)
-			if run.Began.After(from) && inTouch {
-				late, last = late+1, o.ID
+		for _, run := range h.runs[o.ID] {
+			wasUndisturbed := h.disturbances.undisturbed(allBoxes, run.Began.Add(-undisturbedSpan), run.Began) &&
+				h.disturbances.undisturbed(o.Box, run.Began.Add(-undisturbedSpan), run.Began)
+			if run.Began.After(from) && wasUndisturbed {
+				late, lastID = late+1, o.ID
 			}
 		}
 	}
-	if late <= fatalMost {
+	if late <= maxLateFatalSends {
 		return nil
 	}
-	return []finding{{"held back after three ends", last, fmt.Sprintf("sent %d times later, %d ends", late, len(l.ends))}}
+	return []violation{{"quarantine after three crashes", lastID, fmt.Sprintf("sent %d times later, %d crashes",
+		late, len(h.crashes))}}
 }
--- a/internal/soak/fatal_test.go
+++ b/internal/soak/fatal_test.go
@@ -12,48 +12,48 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// fatalRuns is a ledger of servers that ended under the fatal request each second, and of
-// sends that follow.
-func fatalRuns(ends, sends int) *ledger {
-	l := newLedger()
-	l.noteKey("k", "t")
+// fatalRuns returns a history in which a server crashed under the fatal request each second, and
+// the request was sent each second.
+func fatalRuns(crashes, sends int) *history {
+	h := newHistory()
+	h.recordKey("k", "t")
 	began := time.Now()
-	for i := range ends {
-		l.ends = append(l.ends, began.Add(time.Duration(i)*time.Second))
+	for i := range crashes {
+		h.crashes = append(h.crashes, began.Add(time.Duration(i)*time.Second))
 	}
 	for i := range sends {
 		id := fmt.Sprint("f", i)
 		at := began.Add(time.Duration(i) * time.Second)
-		l.noteOutcome(standin.Outcome{
+		h.recordOutcome(standin.Outcome{
 			Call: standin.Call{ID: id, Kind: standin.Stream, Key: "k", DeadlineMs: 1000, Sends: standin.FatalBody}, Sent: at, Box: "b",
 		})
-		l.noteRun(standin.Run{RequestID: id, Server: "s", Kind: standin.Stream, Tenant: "t", Began: at})
+		h.recordRun(standin.Run{RequestID: id, Server: "s", Kind: standin.Stream, Tenant: "t", Began: at})
 	}
-	return l
+	return h
 }
 
 func TestCheckFatal(t *testing.T) {
-	t.Run("finds a request that is sent on for ever", func(t *testing.T) {
-		assertFinds(t, fatalRuns(20, 20), "held back after three ends")
+	t.Run("finds a request that is sent without end", func(t *testing.T) {
+		assertFinds(t, fatalRuns(20, 20), "quarantine after three crashes")
 	})
-	t.Run("lets what is sent soon after the third end go", func(t *testing.T) {
+	t.Run("accepts sends shortly after the third crash", func(t *testing.T) {
 		assert.Empty(t, fatalRuns(6, 6).check())
 	})
-	t.Run("does not hold a box to it that was disturbed", func(t *testing.T) {
-		l := fatalRuns(20, 20)
-		l.touch.begin("b", time.Now())
-		assert.Empty(t, l.check())
+	t.Run("does not apply to a disturbed box", func(t *testing.T) {
+		h := fatalRuns(20, 20)
+		h.disturbances.begin("b", time.Now())
+		assert.Empty(t, h.check())
 	})
 }
 
 func TestCheckForeign(t *testing.T) {
-	l, o, run := sound(standin.Safe)
-	l.timed = true
-	l.noteUnnamed("s")
+	h, o, run := successfulRequest(standin.Safe)
+	h.timed = true
+	h.recordReplacement("s")
 	run.Began = time.Now().Add(5 * time.Second)
-	l.noteRun(*run)
-	l.noteOutcome(*o)
-	assertFinds(t, l, "no new work by another writer's entry")
+	h.recordRun(*run)
+	h.recordOutcome(*o)
+	assertFinds(t, h, "no new work after entry replacement")
 }
 
 func TestRefusedLink(t *testing.T) {
@@ -66,10 +66,10 @@
 	assertEchoes(t, conn)
 	l.set(linkRefused)
 	_, err = conn.Read(make([]byte, 1))
-	require.Error(t, err, "what is open is reset")
+	require.Error(t, err, "open connections are reset")
 	_, err = net.Dial("tcp", l.address())
-	require.Error(t, err, "what comes is refused")
-	l.set(linkWell)
+	require.Error(t, err, "new connections are refused")
+	l.set(linkHealthy)
 	conn, err = net.Dial("tcp", l.address())
 	require.NoError(t, err)
 	assertEchoes(t, conn)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -10,41 +10,41 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// fault is one thing that goes wrong, and how it ends.
+// fault is a fault that a run injects and ends again.
 type fault struct {
 	name string
-	// begin starts it and returns what ends it.
+	// begin starts the fault and returns a function that ends it.
 	begin func(f *fleet) (end func(f *fleet) error, err error)
-	// fleetWide is set when it strikes all boxes at once.
+	// fleetWide is set if the fault affects all boxes at once.
 	fleetWide bool
 }
 
-func nothing(*fleet) error { return nil }
+func noCleanup(*fleet) error { return nil }
 
-// faults are all that a run may draw. Planned work is among them: stops, changes
-// of the configuration, servers that leave. Without those that strike all boxes at once,
-// bounds in time hold for some box most of the time.
+// faults returns all faults that a run may draw. They include planned operations: stops,
+// configuration changes and draining servers. Without the faults that affect all boxes at once,
+// time bounds apply to some box most of the time.
 func faults(withFleetWide bool) []fault {
 	list := []fault{
 		{name: "kill a box", begin: killBox},
 		{name: "pause a box", begin: pauseBox},
-		{name: "stop a box as planned", begin: stopBox},
-		{name: "change settings and hang up", begin: hangUp},
-		{name: "kill all boxes", begin: killAll, fleetWide: true},
-		{name: "forget the store's history", begin: func(f *fleet) (func(*fleet) error, error) {
+		{name: "stop a box gracefully", begin: stopBox},
+		{name: "reload a box's settings", begin: reloadSettings},
+		{name: "kill all boxes", begin: killAllBoxes, fleetWide: true},
+		{name: "compact the store's history", begin: func(f *fleet) (func(*fleet) error, error) {
 			f.store.Compact()
-			return nothing, nil
+			return noCleanup, nil
 		}},
-		{name: "lapse all entries", begin: lapse, fleetWide: true},
-		{name: "the store comes back from a copy", begin: restoreStore},
-		{name: "take a key away", begin: revoke},
-		{name: "change the configuration", begin: change},
-		{name: "pause a box again and again", begin: pauseBoxInRow},
+		{name: "expire all entries", begin: expireEntries, fleetWide: true},
+		{name: "restore the store from a backup", begin: restoreStore},
+		{name: "revoke a key", begin: revokeKey},
+		{name: "change the configuration", begin: changeConfig},
+		{name: "pause a box repeatedly", begin: pauseBoxRepeatedly},
 		{name: "crash a server", begin: crashServer(false)},
 		{name: "crash a server that keeps its id", begin: crashServer(true)},
 		{name: "another writer replaces an entry", begin: replaceEntry},
-		{name: "another writer writes entries", begin: writeEntries},
-		{name: "a server leaves", begin: leaveServer},
+		{name: "another writer writes entries", begin: writeForeignEntries},
+		{name: "drain a server", begin: drainServer},
 	}
 	list = append(list, storeFaults()...)
 	list = append(list, linkFaults()...)
@@ -62,7 +62,7 @@
 	} {
 		begin := func(f *fleet) (func(*fleet) error, error) {
 			f.store.SetFault(kind)
-			return disturbing(f, everywhere, func(f *fleet) error { f.store.SetFault(standin.StoreWell); return nil }, nil)
+			return withDisturbance(f, allBoxes, func(f *fleet) error { f.store.SetFault(standin.StoreWell); return nil }, nil)
 		}
 		list = append(list, fault{name: "store " + string(kind), fleetWide: true, begin: begin})
 	}
@@ -71,18 +71,18 @@
 
 func linkFaults() []fault {
 	list := []fault{}
-	for _, kind := range []linkFault{linkDelayed, linkReset, linkSilent, linkNoAnswers, linkStale} {
+	for _, kind := range []linkFault{linkDelayed, linkReset, linkBlackhole, linkNoAnswers, linkStale} {
 		list = append(list,
-			linkOf("a box's store "+string(kind), kind, func(f *fleet) (*link, string) {
-				b := f.anyBox()
+			linkFaultOf("a box's store "+string(kind), kind, func(f *fleet) (*link, string) {
+				b := f.randomBox()
 				return b.store, b.name
 			}),
-			linkOf("a box's callers "+string(kind), kind, func(f *fleet) (*link, string) {
-				b := f.anyBox()
+			linkFaultOf("a box's callers "+string(kind), kind, func(f *fleet) (*link, string) {
+				b := f.randomBox()
 				return b.callers, b.name
 			}),
-			linkOf("a server's link "+string(kind), kind, func(f *fleet) (*link, string) {
-				s := f.anyServer()
+			linkFaultOf("a server's link "+string(kind), kind, func(f *fleet) (*link, string) {
+				s := f.randomServer()
 				return s.link, s.id()
 			}),
 		)
@@ -97,7 +97,7 @@
 		standin.ServerTorn, standin.ServerExtra, standin.ServerSlow,
 	} {
 		list = append(list, fault{name: "server " + string(kind), begin: func(f *fleet) (func(*fleet) error, error) {
-			s := f.anyServer()
+			s := f.randomServer()
 			s.mu.Lock()
 			current := s.current
 			s.mu.Unlock()
@@ -108,33 +108,34 @@
 	return list
 }
 
-// linkOf is a fault of a link that belongs to a box or a server of some name.
-func linkOf(name string, kind linkFault, pick func(f *fleet) (*link, string)) fault {
+// linkFaultOf returns a fault of a link. pick selects the link and returns it with the name of
+// the box or server that it belongs to.
+func linkFaultOf(name string, kind linkFault, pick func(f *fleet) (*link, string)) fault {
 	return fault{name: name, begin: func(f *fleet) (func(*fleet) error, error) {
 		l, owner := pick(f)
 		l.set(kind)
-		return disturbing(f, owner, func(*fleet) error { l.set(linkWell); return nil }, nil)
+		return withDisturbance(f, owner, func(*fleet) error { l.set(linkHealthy); return nil }, nil)
 	}}
 }
 
-func (f *fleet) anyBox() *box { return f.boxes[f.draw(len(f.boxes))] }
+func (f *fleet) randomBox() *box { return f.boxes[f.draw(len(f.boxes))] }
 
-func (f *fleet) anyServer() *server { return f.servers[f.draw(len(f.servers))] }
+func (f *fleet) randomServer() *server { return f.servers[f.draw(len(f.servers))] }
 
 func killBox(f *fleet) (func(*fleet) error, error) {
-	b := f.anyBox()
-	return disturbing(f, b.name, func(*fleet) error { return b.process.start() }, b.process.kill())
+	b := f.randomBox()
+	return withDisturbance(f, b.name, func(*fleet) error { return b.process.start() }, b.process.kill())
 }
 
-func killAll(f *fleet) (func(*fleet) error, error) {
-	errs, undisturb := []error{}, []func(){}
+func killAllBoxes(f *fleet) (func(*fleet) error, error) {
+	errs, endDisturbance := []error{}, []func(){}
 	for _, b := range f.boxes {
-		undisturb = append(undisturb, f.disturb(b.name))
+		endDisturbance = append(endDisturbance, f.disturb(b.name))
 		errs = append(errs, b.process.kill())
 	}
-	return disturbing(f, everywhere, func(f *fleet) error {
+	return withDisturbance(f, allBoxes, func(f *fleet) error {
 		errs := []error{}
-		for _, end := range undisturb {
+		for _, end := range endDisturbance {
 			defer end()
 		}
 		for _, b := range f.boxes {
@@ -145,17 +146,17 @@
 }
 
 func pauseBox(f *fleet) (func(*fleet) error, error) {
-	b := f.anyBox()
-	goOn := func(*fleet) error { return b.process.signal(syscall.SIGCONT) }
-	return disturbing(f, b.name, goOn, b.process.signal(syscall.SIGSTOP))
+	b := f.randomBox()
+	resume := func(*fleet) error { return b.process.signal(syscall.SIGCONT) }
+	return withDisturbance(f, b.name, resume, b.process.signal(syscall.SIGSTOP))
 }
 
-// stopBox sends the signal of a planned stop and starts the box again once it has
-// ended, or kills it after its grace.
+// stopBox sends SIGTERM to a box. At the end of the fault it waits for the process to exit,
+// kills it after the shutdown grace period, and restarts it.
 func stopBox(f *fleet) (func(*fleet) error, error) {
-	b := f.anyBox()
-	return disturbing(f, b.name, func(*fleet) error {
-		if !b.process.wait(graceS * time.Second) {
+	b := f.randomBox()
+	return withDisturbance(f, b.name, func(*fleet) error {
+		if !b.process.wait(shutdownGraceS * time.Second) {
 			if err := b.process.kill(); err != nil {
 				return err
 			}
@@ -164,12 +165,12 @@
 	}, b.process.signal(syscall.SIGTERM))
 }
 
-func hangUp(f *fleet) (func(*fleet) error, error) {
-	return nothing, f.anyBox().process.signal(syscall.SIGHUP)
+func reloadSettings(f *fleet) (func(*fleet) error, error) {
+	return noCleanup, f.randomBox().process.signal(syscall.SIGHUP)
 }
 
-func lapse(f *fleet) (func(*fleet) error, error) {
-	undisturb := f.disturb(everywhere)
+func expireEntries(f *fleet) (func(*fleet) error, error) {
+	endDisturbance := f.disturb(allBoxes)
 	f.store.SetFault(standin.StoreBusy)
 	for _, s := range f.servers {
 		s.mu.Lock()
@@ -177,42 +178,43 @@
 		s.mu.Unlock()
 	}
 	return func(f *fleet) error {
-		defer undisturb()
+		defer endDisturbance()
 		f.store.SetFault(standin.StoreWell)
 		for _, s := range f.servers {
-			f.announce(s, false)
+			f.writeEntry(s, false)
 		}
 		return nil
 	}, nil
 }
 
-// revoke takes one key of a tenant that has more than one.
-func revoke(f *fleet) (func(*fleet) error, error) {
+// revokeKey revokes a key of a tenant that has more than one. A tenant with fewer gets another
+// key instead.
+func revokeKey(f *fleet) (func(*fleet) error, error) {
 	tenant := fmt.Sprint("tenant-", f.draw(tenantCount))
 	f.mu.Lock()
 	keys := f.config.Keys[tenant]
 	if len(keys) < 2 {
 		f.addKey(tenant)
 		f.mu.Unlock()
-		return nothing, nil
+		return noCleanup, nil
 	}
-	gone := keys[0]
+	removed := keys[0]
 	f.config.Keys[tenant] = append([]string(nil), keys[1:]...)
 	f.mu.Unlock()
 	f.putConfig()
-	f.ledger.noteRevoked(gone)
-	return nothing, nil
+	f.history.recordRevocation(removed)
+	return noCleanup, nil
 }
 
-func change(f *fleet) (func(*fleet) error, error) {
+func changeConfig(f *fleet) (func(*fleet) error, error) {
 	f.mu.Lock()
 	f.config.Extra = append(f.config.Extra, fmt.Sprint("extra-", len(f.config.Extra)))
 	f.mu.Unlock()
 	f.putConfig()
-	return nothing, nil
+	return noCleanup, nil
 }
 
-// putConfig writes the configuration under a newer version.
+// putConfig writes the configuration with a higher version.
 func (f *fleet) putConfig() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -220,52 +222,52 @@
 	f.store.PutConfig(f.config)
 }
 
-// id is the name of the current incarnation.
+// id returns the id of the current incarnation.
 func (s *server) id() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current.ID
 }
 
-// pauseBoxInRow stops a box and lets it go on, several times, for a while each.
-func pauseBoxInRow(f *fleet) (func(*fleet) error, error) {
-	b := f.anyBox()
-	undisturb := f.disturb(b.name)
+// pauseBoxRepeatedly pauses and resumes a box three times, for a random time each.
+func pauseBoxRepeatedly(f *fleet) (func(*fleet) error, error) {
+	b := f.randomBox()
+	endDisturbance := f.disturb(b.name)
 	return func(f *fleet) error {
-		defer undisturb()
+		defer endDisturbance()
 		errs := []error{}
 		for range 3 {
 			errs = append(errs, b.process.signal(syscall.SIGSTOP))
-			time.Sleep(time.Duration(leastMs+f.draw(faultGapMs)) * time.Millisecond)
+			time.Sleep(time.Duration(minDelayMs+f.draw(faultGapMs)) * time.Millisecond)
 			errs = append(errs, b.process.signal(syscall.SIGCONT))
-			time.Sleep(time.Duration(leastMs+f.draw(leastMs)) * time.Millisecond)
+			time.Sleep(time.Duration(minDelayMs+f.draw(minDelayMs)) * time.Millisecond)
 		}
 		return errors.Join(errs...)
 	}, nil
 }
 
-// crashServer breaks what is open at a server and refuses what comes; a new incarnation
-// follows at the same address, under its id or another.
+// crashServer returns a fault that resets a server's open connections and refuses new ones.
+// A new incarnation follows at the same address, under the old id or a new one.
 func crashServer(keepID bool) func(f *fleet) (func(*fleet) error, error) {
 	return func(f *fleet) (func(*fleet) error, error) {
-		s := f.anyServer()
+		s := f.randomServer()
 		s.mu.Lock()
-		again := !s.down
+		alive := !s.down
 		s.down = true
 		s.mu.Unlock()
-		if !again {
-			return nothing, nil
+		if !alive {
+			return noCleanup, nil
 		}
 		s.link.set(linkRefused)
 		return func(f *fleet) error {
-			s.link.set(linkWell)
-			f.startAgain(s, keepID)
+			s.link.set(linkHealthy)
+			f.restartServer(s, keepID)
 			return nil
 		}, nil
 	}
 }
 
-// foreignEntries are entries of other writers.
+// foreignEntries are malformed entries of other writers.
 var foreignEntries = [][]byte{
 	[]byte("{"), []byte("null"), []byte("[]"), []byte("{}"), []byte("\x00\xff"),
 	foreignEntry(`"service":7,"address":"127.0.0.1:9","slots":8,"state":"ready"`),
@@ -274,55 +276,57 @@
 	foreignEntry(`"service":"p","address":"127.0.0.1:9","slots":8,"state":"paused"`),
 }
 
-// foreignEntry is one that is whole but for what is wrong in some fields.
+// foreignEntry returns an entry that is valid except for the given fields.
 func foreignEntry(fields string) []byte {
 	return []byte("{" + fields + `,"zone":"zone-0","version":"v1","coldLeftMs":0,"sequence":1}`)
 }
 
-// replaceEntry has another writer replace a server's entry until the server writes its own.
+// replaceEntry replaces a server's entry as another writer would. The server rewrites its own
+// entry at the end of the fault.
 func replaceEntry(f *fleet) (func(*fleet) error, error) {
-	s := f.anyServer()
+	s := f.randomServer()
 	id := s.id()
 	s.setReplaced(true)
 	f.store.PutForeign(id, foreignEntries[f.draw(len(foreignEntries))])
-	named := f.ledger.noteUnnamed(id)
+	endReplacement := f.history.recordReplacement(id)
 	return func(f *fleet) error {
 		s.setReplaced(false)
-		named()
+		endReplacement()
 		if s.id() == id {
-			f.announce(s, false)
+			f.writeEntry(s, false)
 		}
 		return nil
 	}, nil
 }
 
-// writeEntries has another writer add entries that are no server's.
-func writeEntries(f *fleet) (func(*fleet) error, error) {
+// writeForeignEntries adds entries that belong to no server, as another writer would.
+func writeForeignEntries(f *fleet) (func(*fleet) error, error) {
 	for i, value := range foreignEntries {
 		f.store.PutForeign(fmt.Sprint("foreign-", i), value)
 	}
 	f.store.PutForeign("a key with blanks", foreignEntries[0])
-	return nothing, nil
+	return noCleanup, nil
 }
 
-func leaveServer(f *fleet) (func(*fleet) error, error) {
-	s := f.anyServer()
+func drainServer(f *fleet) (func(*fleet) error, error) {
+	s := f.randomServer()
 	old := s.id()
-	s.setLeaving(true)
-	f.announce(s, true)
-	f.ledger.noteLeft(old)
+	s.setDraining(true)
+	f.writeEntry(s, true)
+	f.history.recordDraining(old)
 	began := time.Now()
 	return func(f *fleet) error {
-		// It serves on for longer than boxes may send it work, so that such work shows.
-		time.Sleep(time.Until(began.Add(lingerSpan)))
-		f.entries.Lock()
-		defer f.entries.Unlock()
+		// The server continues to serve for longer than boxes may send it work, so that late
+		// work is recorded.
+		time.Sleep(time.Until(began.Add(drainSpan)))
+		f.entriesMu.Lock()
+		defer f.entriesMu.Unlock()
 		f.store.RemoveServer(old)
-		s.setLeaving(false)
-		f.incarnate(s)
+		s.setDraining(false)
+		f.startIncarnation(s)
 		return nil
 	}, nil
 }
 
-// lingerSpan is how long a server serves on that said that it leaves.
-const lingerSpan = 4 * time.Second
+// drainSpan is how long a server continues to serve after it announced that it drains.
+const drainSpan = 4 * time.Second
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -13,37 +13,37 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// Ports of the boxes; each box has an IP number of its own.
+// Ports of the boxes and their settings. Each box has its own IP address, so all share the ports.
 const (
 	callersPort   = 21000
 	readinessPort = 21001
 	peersPort     = 21002
-	// RevokeMs is how long a key may be used after its removal.
-	RevokeMs   = 5000
-	graceS     = 4
-	domains    = 3
-	maxAgeMs   = RevokeMs
-	slackShare = 50
+	// RevocationBoundMs is how long a key may still be used after its removal.
+	RevocationBoundMs = 5000
+	shutdownGraceS    = 4
+	domainCount       = 3
+	maxAgeMs          = RevocationBoundMs
+	retrySlack        = 50
 )
 
-// Settings of one run.
+// Settings are the settings of one run.
 type Settings struct {
 	// Program is the path of dooryard-gateway.
 	Program string
-	// Folder keeps logs and settings files.
+	// Folder is where the run writes logs and settings files.
 	Folder string
 	Seed   uint64
 	Boxes  int
-	// Servers is how many servers there are.
+	// Servers is the number of servers.
 	Servers int
 	Clients int
 	Span    time.Duration
-	// Timed has bounds in time checked, too, with faults that leave most boxes alone. It
-	// wants a machine that does little else.
+	// Timed also checks time bounds, and omits the faults that affect all boxes at once. It
+	// needs a machine that is otherwise idle.
 	Timed bool
 }
 
-// box is one process with the links to it and to its store.
+// box is a box process, its link from the callers and its link to the store.
 type box struct {
 	name    string
 	process *process
@@ -51,7 +51,7 @@
 	store   *link
 }
 
-// server is one server's place, where incarnations follow each other.
+// server is an address at which successive incarnations of a server run.
 type server struct {
 	zone string
 	link *link
@@ -59,12 +59,12 @@
 	mu      sync.Mutex
 	current *standin.Server
 	down    bool
-	// leaving is set once it said that it leaves, and replaced while another writer holds its
-	// entry.
-	leaving, replaced bool
+	// draining is set once the server announced that it drains. replaced is set while another
+	// writer's entry replaces the server's entry.
+	draining, replaced bool
 }
 
-// ServeHTTP lets the current incarnation answer.
+// ServeHTTP passes the request to the current incarnation.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	current, down := s.current, s.down
@@ -75,27 +75,28 @@
 	current.ServeHTTP(w, r)
 }
 
-// fleet is all that one run needs.
+// fleet holds the processes, fakes and recorded history of one run.
 type fleet struct {
 	settings Settings
 	random   *rand.Rand
 	store    *standin.Store
-	ledger   *ledger
+	history  *history
 	boxes    []*box
 	servers  []*server
 	closers  []func()
 
-	// entries is held while a server's entry is written again, or replaced by another one's.
-	entries sync.Mutex
-	// ends are servers that start again.
-	ends sync.WaitGroup
+	// entriesMu is held while a server's entry is rewritten, or replaced by a new
+	// incarnation's entry.
+	entriesMu sync.Mutex
+	// background counts the server restarts and delayed writes that are still to come.
+	background sync.WaitGroup
 
 	mu           sync.Mutex
 	config       standin.Config
 	incarnations int
 }
 
-// draw is a source of numbers that servers may use from any goroutine.
+// draw returns a random number in [0,n). It is safe for concurrent use.
 func (f *fleet) draw(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,13 +105,14 @@
 
 func newFleet(settings Settings) (*fleet, error) {
 	f := &fleet{
-		settings: settings, random: rand.New(rand.NewPCG(settings.Seed, 1)), store: standin.NewStore(), ledger: newLedger(),
-		config: standin.Config{Version: 1, Keys: map[string][]string{}},
+		settings: settings, random: rand.New(rand.NewPCG(settings.Seed, 1)), store: standin.NewStore(),
+		history: newHistory(),
+		config:  standin.Config{Version: 1, Keys: map[string][]string{}},
 	}
-	f.ledger.timed = settings.Timed
+	f.history.timed = settings.Timed
 	for i := range tenantCount {
 		tenant := "tenant-" + strconv.Itoa(i)
-		for range keysEach {
+		for range keysPerTenant {
 			f.addKey(tenant)
 		}
 	}
@@ -133,15 +135,15 @@
 }
 
 const (
-	tenantCount = 3
-	keysEach    = 6
+	tenantCount   = 3
+	keysPerTenant = 6
 )
 
-// addKey gives a tenant one more key, in a configuration to be written.
+// addKey adds a key of a tenant to the configuration, without writing it to the store.
 func (f *fleet) addKey(tenant string) {
 	key := fmt.Sprintf("key-%s-%d", tenant, f.random.Uint64())
 	f.config.Keys[tenant] = append(f.config.Keys[tenant], key)
-	f.ledger.noteKey(key, tenant)
+	f.history.recordKey(key, tenant)
 }
 
 func (f *fleet) serve(address string, handler http.Handler) (string, error) {
@@ -156,7 +158,7 @@
 }
 
 func (f *fleet) addServer(i int) error {
-	s := &server{zone: "zone-" + strconv.Itoa(i%domains)}
+	s := &server{zone: "zone-" + strconv.Itoa(i%domainCount)}
 	address, err := f.serve("127.0.0.1:0", s)
 	if err != nil {
 		return err
@@ -166,12 +168,12 @@
 	}
 	f.closers = append(f.closers, s.link.close)
 	f.servers = append(f.servers, s)
-	f.incarnate(s)
+	f.startIncarnation(s)
 	return nil
 }
 
-// incarnate starts a new incarnation at a server's place.
-func (f *fleet) incarnate(s *server) {
+// startIncarnation starts a new incarnation of a server under a new id.
+func (f *fleet) startIncarnation(s *server) {
 	f.mu.Lock()
 	f.incarnations++
 	id := fmt.Sprintf("server-%d-%d", f.settings.Seed, f.incarnations)
@@ -179,19 +181,19 @@
 	s.mu.Lock()
 	s.current, s.down = f.newServer(s, id), false
 	s.mu.Unlock()
-	f.announce(s, false)
+	f.writeEntry(s, false)
 }
 
-// newServer is an incarnation at a server's place, which ends under fatal requests.
+// newServer returns an incarnation of a server, which crashes under fatal requests.
 func (f *fleet) newServer(s *server, id string) *standin.Server {
-	current := standin.NewServer(id, f.draw, f.ledger.noteRun)
-	current.OnArrival(f.ledger.noteArrival)
-	current.OnFatal(func(ended *standin.Server) { f.endUnder(s, ended) })
+	current := standin.NewServer(id, f.draw, f.history.recordRun)
+	current.OnArrival(f.history.recordArrival)
+	current.OnFatal(func(crashed *standin.Server) { f.crashOnFatal(s, crashed) })
 	return current
 }
 
-// announce writes the entry of a server's current incarnation.
-func (f *fleet) announce(s *server, draining bool) {
+// writeEntry writes the entry of a server's current incarnation.
+func (f *fleet) writeEntry(s *server, draining bool) {
 	s.mu.Lock()
 	current := s.current
 	s.mu.Unlock()
@@ -201,10 +203,11 @@
 	})
 }
 
-// linksHost is the host number of the run's links, above those of its boxes.
+// linksHost is the last octet of the IP address of the run's links, above those of its boxes.
 const linksHost = 250
 
-// ip is an IP number of the run's own: runs of seeds that are not 200 apart share none.
+// ip returns a loopback address of the run. Runs share addresses only if their seeds differ by a
+// multiple of 200.
 func (f *fleet) ip(host int) string { return fmt.Sprintf("127.0.%d.%d", f.settings.Seed%200+1, host) }
 
 func (f *fleet) addBox(i int, storeAddress string) error {
@@ -215,8 +218,8 @@
 		return err
 	}
 	f.closers = append(f.closers, b.store.close)
-	own := net.JoinHostPort(ip, strconv.Itoa(callersPort))
-	if b.callers, err = newLink(f.ip(linksHost), func() string { return own }); err != nil {
+	callersAddress := net.JoinHostPort(ip, strconv.Itoa(callersPort))
+	if b.callers, err = newLink(f.ip(linksHost), func() string { return callersAddress }); err != nil {
 		return err
 	}
 	f.closers = append(f.closers, b.callers.close)
@@ -224,7 +227,8 @@
 	settings := fmt.Sprintf("box: %s\nfailure_domain: zone-%d\ncallers_address: %s\nreadiness_address: %s:%d\n"+
 		"peers_address: %s:%d\ncontacts: [%q]\nstore: {address: %q}\nfreshness: {max_age_ms: %d}\n"+
 		"retry_budget: {ratio: 0.2, slack: %d}\nshutdown: {grace_s: %d}\n",
-		b.name, i%domains, own, ip, readinessPort, ip, peersPort, contact, b.store.address(), maxAgeMs, slackShare, graceS)
+		b.name, i%domainCount, callersAddress, ip, readinessPort, ip, peersPort, contact, b.store.address(), maxAgeMs,
+		retrySlack, shutdownGraceS)
 	if b.process, err = newProcess(f.settings.Program, f.settings.Folder, b.name, settings); err != nil {
 		return err
 	}
@@ -232,11 +236,11 @@
 	return b.process.start()
 }
 
-// close ends all processes that the run started, and its own listeners.
+// close kills all processes that the run started and closes its listeners.
 func (f *fleet) close() {
 	for _, b := range f.boxes {
 		if b.process != nil && b.process.command != nil {
-			// It is gone then, or was before.
+			// The process may have exited before; there is nothing to handle.
 			_ = b.process.kill()
 		}
 	}
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -10,212 +10,214 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// finding is a broken promise.
-type finding struct {
-	Promise string
-	Request string
-	Detail  string
+// violation is a violated guarantee.
+type violation struct {
+	Guarantee string
+	Request   string
+	Detail    string
 }
 
-func (f finding) String() string {
-	return fmt.Sprintf("%s: request %s: %s", f.Promise, f.Request, f.Detail)
+func (f violation) String() string {
+	return fmt.Sprintf("%s: request %s: %s", f.Guarantee, f.Request, f.Detail)
 }
 
-// ledger notes what clients and servers saw.
-type ledger struct {
+// history records what clients and servers observed.
+type history struct {
 	mu       sync.Mutex
 	runs     map[string][]standin.Run
 	outcomes []standin.Outcome
-	// tenants is whose each key is, or was.
+	// tenants maps each current or former key to its tenant.
 	tenants map[string]string
-	// revoked is when the removal of a key was acknowledged.
+	// revoked maps a key to the time at which the store acknowledged its removal.
 	revoked map[string]time.Time
-	// served counts successes by kind.
+	// served counts successful requests by kind.
 	served map[string]int
-	// left is when a server's word that it leaves was acknowledged.
-	left  map[string]time.Time
-	touch touch
-	// unnamed is when another writer's entry took a server's place, and when it wrote its own
-	// again.
-	unnamed map[string][]*span
-	// arrivals are the requests that reached the server they were meant for.
+	// draining maps a server to the time at which the store acknowledged its draining entry.
+	draining     map[string]time.Time
+	disturbances disturbances
+	// replacements are the intervals from the replacement of a server's entry by another
+	// writer until the server rewrote its own.
+	replacements map[string][]*interval
+	// arrivals are the requests that reached the server they were addressed to.
 	arrivals []standin.Arrival
-	// ends are when servers ended under the fatal request.
-	ends []time.Time
-	// timed is set when bounds in time are checked, too.
+	// crashes are the times at which servers crashed under the fatal request.
+	crashes []time.Time
+	// timed is set if time bounds are checked too.
 	timed bool
 }
 
-func newLedger() *ledger {
-	return &ledger{
+func newHistory() *history {
+	return &history{
 		runs: map[string][]standin.Run{}, tenants: map[string]string{}, revoked: map[string]time.Time{},
-		served: map[string]int{}, left: map[string]time.Time{}, touch: touch{}, unnamed: map[string][]*span{},
+		served: map[string]int{}, draining: map[string]time.Time{}, disturbances: disturbances{},
+		replacements: map[string][]*interval{},
 	}
 }
 
-func (l *ledger) noteRun(run standin.Run) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.runs[run.RequestID] = append(l.runs[run.RequestID], run)
+func (h *history) recordRun(run standin.Run) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.runs[run.RequestID] = append(h.runs[run.RequestID], run)
 }
 
-func (l *ledger) noteOutcome(o standin.Outcome) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.outcomes = append(l.outcomes, o)
+func (h *history) recordOutcome(o standin.Outcome) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.outcomes = append(h.outcomes, o)
 }
 
-func (l *ledger) noteKey(key, tenant string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.tenants[key] = tenant
+func (h *history) recordKey(key, tenant string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.tenants[key] = tenant
 }
 
-func (l *ledger) noteRevoked(key string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.revoked[key] = time.Now()
+func (h *history) recordRevocation(key string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.revoked[key] = time.Now()
 }
 
-func (l *ledger) noteLeft(server string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.left[server] = time.Now()
+func (h *history) recordDraining(server string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.draining[server] = time.Now()
 }
 
-// check returns the promises that were broken. It is called when nothing runs any
-// more, so that what never ran never will.
-func (l *ledger) check() []finding {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	findings := []finding{}
+// check returns the violated guarantees. It must be called after everything has stopped, so that
+// no request can still run later.
+func (h *history) check() []violation {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	violations := []violation{}
 	known := map[string]bool{}
-	for _, o := range l.outcomes {
+	for _, o := range h.outcomes {
 		known[o.ID] = true
-		findings = append(findings, l.checkOutcome(o)...)
+		violations = append(violations, h.checkOutcome(o)...)
 	}
-	for id := range l.runs {
+	for id := range h.runs {
 		if !known[id] {
-			findings = append(findings, finding{"nobody asked for it", id, "a server ran it"})
+			violations = append(violations, violation{"no run without a request", id, "a server ran it"})
 		}
 	}
-	findings = append(findings, l.checkFatal()...)
-	return append(findings, l.checkWords()...)
+	violations = append(violations, h.checkFatal()...)
+	return append(violations, h.checkSignals()...)
 }
 
-func (l *ledger) checkOutcome(o standin.Outcome) []finding {
-	runs := l.runs[o.ID]
-	findings := []finding{}
-	broken := func(promise, format string, arguments ...any) {
-		findings = append(findings, finding{promise, o.ID, fmt.Sprintf(format, arguments...)})
+func (h *history) checkOutcome(o standin.Outcome) []violation {
+	runs := h.runs[o.ID]
+	violations := []violation{}
+	violated := func(guarantee, format string, arguments ...any) {
+		violations = append(violations, violation{guarantee, o.ID, fmt.Sprintf(format, arguments...)})
 	}
-	once := o.Kind == standin.Unsafe || o.Kind == standin.Stream
-	if once && len(runs) > 1 {
-		broken("at most one run", "%s ran %d times", o.Kind, len(runs))
+	atMostOnce := o.Kind == standin.Unsafe || o.Kind == standin.Stream
+	if atMostOnce && len(runs) > 1 {
+		violated("at most one run", "%s ran %d times", o.Kind, len(runs))
 	}
-	if once && promisesNotRun(o.Status) && len(runs) > 0 {
-		broken("not run is true", "%s got %d and ran at %s", o.Kind, o.Status, runs[0].Server)
+	if atMostOnce && meansNotRun(o.Status) && len(runs) > 0 {
+		violated("no run after a not-run status", "%s got %d and ran at %s", o.Kind, o.Status, runs[0].Server)
 	}
 	if o.Status == http.StatusOK && o.Whole {
-		l.served[o.Kind]++
+		h.served[o.Kind]++
 		if !o.Sound() {
-			broken("whole answer to its own request", "%s got %q, seal %q", o.Kind, o.Answer, o.Seal)
+			violated("complete answer to its own request", "%s got %q, seal %q", o.Kind, o.Answer, o.Seal)
 		}
 		if len(runs) == 0 {
-			broken("whole answer to its own request", "no server ran it")
+			violated("complete answer to its own request", "no server ran it")
 		}
 	}
 	for _, run := range runs {
-		findings = append(findings, l.checkRun(o, run)...)
+		violations = append(violations, h.checkRun(o, run)...)
 	}
-	return findings
+	return violations
 }
 
-func (l *ledger) checkRun(o standin.Outcome, run standin.Run) []finding {
-	findings := []finding{}
-	broken := func(promise, format string, arguments ...any) {
-		findings = append(findings, finding{promise, o.ID, fmt.Sprintf(format, arguments...)})
+func (h *history) checkRun(o standin.Outcome, run standin.Run) []violation {
+	violations := []violation{}
+	violated := func(guarantee, format string, arguments ...any) {
+		violations = append(violations, violation{guarantee, o.ID, fmt.Sprintf(format, arguments...)})
 	}
 	if run.Key || run.Forged != "" {
-		broken("headers are the system's", "key passed on: %v, forged: %q", run.Key, run.Forged)
+		violated("no key or forged header reaches a server", "key forwarded: %v, forged: %q", run.Key, run.Forged)
 	}
-	if want, known := l.tenants[o.Key]; !known || run.Tenant != want {
-		broken("tenant of the key", "ran as %q with a key of %q", run.Tenant, want)
+	if want, known := h.tenants[o.Key]; !known || run.Tenant != want {
+		violated("tenant of the key", "ran as %q with a key of %q", run.Tenant, want)
 	}
-	if at, gone := l.revoked[o.Key]; gone && o.Sent.Sub(at) > RevokeMs*time.Millisecond {
-		broken("revocation", "ran, though sent %s after its key's removal", o.Sent.Sub(at))
+	if at, isRevoked := h.revoked[o.Key]; isRevoked && o.Sent.Sub(at) > RevocationBoundMs*time.Millisecond {
+		violated("revocation", "ran, though sent %s after its key's removal", o.Sent.Sub(at))
 	}
 	if run.DeadlineMs > o.DeadlineMs {
-		broken("deadline", "the server got %d ms of %d", run.DeadlineMs, o.DeadlineMs)
+		violated("deadline", "the server got %d ms of %d", run.DeadlineMs, o.DeadlineMs)
 	}
-	if late := l.lateAfterForeign(o, run); late > 0 {
-		broken("no new work by another writer's entry", "%s ran it %s after its entry was replaced", run.Server, late)
+	if late := h.lateAfterReplacement(o, run); late > 0 {
+		violated("no new work after entry replacement", "%s ran it %s after its entry was replaced", run.Server, late)
 	}
-	if late := l.lateAfterLeaving(o, run); late > 0 {
-		broken("no new work after leaving", "%s ran it %s after it had said that it leaves", run.Server, late)
+	if late := h.lateAfterDraining(o, run); late > 0 {
+		violated("no new work after draining entry", "%s ran it %s after its draining entry", run.Server, late)
 	}
-	return findings
+	return violations
 }
 
 const (
-	// leaveSpan is how long boxes may send new work to a server that leaves.
-	leaveSpan = 2 * time.Second
-	// contactSpan is how long a box must have been undisturbed to be held to that.
-	contactSpan = 3 * time.Second
-	// lateSlack is for the machine that the soak runs on.
-	lateSlack = 300 * time.Millisecond
+	// maxPropagation is how long boxes may still send new work to a server that drains, or
+	// whose entry was replaced.
+	maxPropagation = 2 * time.Second
+	// undisturbedSpan is how long a box must have been undisturbed for that bound to apply.
+	undisturbedSpan = 3 * time.Second
+	// timingSlack allows for scheduling delays of the machine that runs the soak.
+	timingSlack = 300 * time.Millisecond
 )
 
-// lateAfterLeaving is how long after a server's word that it leaves a box that was
-// undisturbed sent it a request, if that is too long.
-func (l *ledger) lateAfterLeaving(o standin.Outcome, run standin.Run) time.Duration {
-	at, left := l.left[run.Server]
+// lateAfterDraining returns how long after a server's draining entry an undisturbed box sent it
+// a request, or 0 if that is within the bound.
+func (h *history) lateAfterDraining(o standin.Outcome, run standin.Run) time.Duration {
+	at, draining := h.draining[run.Server]
 	late := run.Began.Sub(at)
-	if !l.timed || !left || late <= leaveSpan+lateSlack {
+	if !h.timed || !draining || late <= maxPropagation+timingSlack {
 		return 0
 	}
-	for _, name := range []string{everywhere, o.Box, run.Server} {
-		if !l.touch.calm(name, at.Add(-contactSpan), run.Began) {
+	for _, name := range []string{allBoxes, o.Box, run.Server} {
+		if !h.disturbances.undisturbed(name, at.Add(-undisturbedSpan), run.Began) {
 			return 0
 		}
 	}
 	return late
 }
 
-// lateAfterForeign is how long after another writer replaced a server's entry a box that was
-// undisturbed sent it a request, if that is too long.
-func (l *ledger) lateAfterForeign(o standin.Outcome, run standin.Run) time.Duration {
-	for _, s := range l.unnamed[run.Server] {
+// lateAfterReplacement returns how long after another writer replaced a server's entry an
+// undisturbed box sent the server a request, or 0 if that is within the bound.
+func (h *history) lateAfterReplacement(o standin.Outcome, run standin.Run) time.Duration {
+	for _, s := range h.replacements[run.Server] {
 		late := run.Began.Sub(s.from)
-		if !l.timed || late <= leaveSpan+lateSlack || !s.to.IsZero() && run.Began.After(s.to) {
+		if !h.timed || late <= maxPropagation+timingSlack || !s.to.IsZero() && run.Began.After(s.to) {
 			continue
 		}
-		calm := true
-		for _, name := range []string{everywhere, o.Box, run.Server} {
-			calm = calm && l.touch.calm(name, s.from.Add(-contactSpan), run.Began)
+		undisturbed := true
+		for _, name := range []string{allBoxes, o.Box, run.Server} {
+			undisturbed = undisturbed && h.disturbances.undisturbed(name, s.from.Add(-undisturbedSpan), run.Began)
 		}
-		if calm {
+		if undisturbed {
 			return late
 		}
 	}
 	return 0
 }
 
-// noteUnnamed notes that another writer replaced a server's entry, and returns what notes that
-// the server wrote its own again.
-func (l *ledger) noteUnnamed(server string) (end func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	s := &span{from: time.Now()}
-	l.unnamed[server] = append(l.unnamed[server], s)
+// recordReplacement records that another writer replaced a server's entry. The returned function
+// records that the server rewrote its own.
+func (h *history) recordReplacement(server string) (end func()) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	s := &interval{from: time.Now()}
+	h.replacements[server] = append(h.replacements[server], s)
 	return func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
+		h.mu.Lock()
+		defer h.mu.Unlock()
 		s.to = time.Now()
 	}
 }
 
-func promisesNotRun(status int) bool {
+func meansNotRun(status int) bool {
 	return slices.Contains([]int{
 		http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout,
 		http.StatusMisdirectedRequest,
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -10,130 +10,132 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// sound is a ledger with one request that went well.
-func sound(kind string) (*ledger, *standin.Outcome, *standin.Run) {
-	l := newLedger()
-	l.noteKey("k", "t")
+// successfulRequest returns a history that holds only the key of a successful request, and the
+// outcome and the run of that request, which are still to be recorded.
+func successfulRequest(kind string) (*history, *standin.Outcome, *standin.Run) {
+	h := newHistory()
+	h.recordKey("k", "t")
 	o := &standin.Outcome{
 		Call: standin.Call{ID: "1", Kind: kind, Key: "k", DeadlineMs: 1000}, Sent: time.Now(), Status: http.StatusOK,
 		Whole: true, Answer: standin.Body("1"), Seal: "seal-1", Echo: "1",
 	}
-	return l, o, &standin.Run{RequestID: "1", Server: "s", Kind: kind, Tenant: "t", DeadlineMs: 900}
+	return h, o, &standin.Run{RequestID: "1", Server: "s", Kind: kind, Tenant: "t", DeadlineMs: 900}
 }
 
-func assertFinds(t *testing.T, l *ledger, promise string) {
+func assertFinds(t *testing.T, h *history, guarantee string) {
 	t.Helper()
-	found := l.check()
+	found := h.check()
 	if assert.NotEmpty(t, found) {
-		assert.Equal(t, promise, found[0].Promise)
+		assert.Equal(t, guarantee, found[0].Guarantee)
 	}
 }
 
-// TestCheck breaks each promise once, as a router with that fault would.
+// TestCheck violates each guarantee once, as a router with that fault would.
 func TestCheck(t *testing.T) {
-	t.Run("finds nothing where nothing is wrong", func(t *testing.T) {
-		l, o, run := sound(standin.Unsafe)
-		l.noteRun(*run)
-		l.noteOutcome(*o)
-		assert.Empty(t, l.check())
+	t.Run("finds nothing in a correct history", func(t *testing.T) {
+		h, o, run := successfulRequest(standin.Unsafe)
+		h.recordRun(*run)
+		h.recordOutcome(*o)
+		assert.Empty(t, h.check())
 	})
 	for _, c := range []struct {
-		name    string
-		promise string
-		kind    string
-		spoil   func(l *ledger, o *standin.Outcome, run *standin.Run)
+		name      string
+		guarantee string
+		kind      string
+		corrupt   func(h *history, o *standin.Outcome, run *standin.Run)
 	}{
-		{"a doubled send", "at most one run", standin.Unsafe, func(l *ledger, _ *standin.Outcome, run *standin.Run) {
-			l.noteRun(*run)
+		{"a doubled send", "at most one run", standin.Unsafe, func(h *history, _ *standin.Outcome, run *standin.Run) {
+			h.recordRun(*run)
 		}},
-		{"a false 503", "not run is true", standin.Stream, func(_ *ledger, o *standin.Outcome, _ *standin.Run) {
+		{"a false 503", "no run after a not-run status", standin.Stream, func(_ *history, o *standin.Outcome, _ *standin.Run) {
 			o.Status = http.StatusServiceUnavailable
 		}},
 		{
-			"an answer to another request", "whole answer to its own request", standin.Safe,
-			func(_ *ledger, o *standin.Outcome, _ *standin.Run) { o.Answer = standin.Body("2") },
+			"an answer to another request", "complete answer to its own request", standin.Safe,
+			func(_ *history, o *standin.Outcome, _ *standin.Run) { o.Answer = standin.Body("2") },
 		},
 		{
-			"a cut stream passed off as whole", "whole answer to its own request", standin.Stream,
-			func(_ *ledger, o *standin.Outcome, _ *standin.Run) { o.Answer = standin.Event("1", 1) },
+			"a cut stream reported as complete", "complete answer to its own request", standin.Stream,
+			func(_ *history, o *standin.Outcome, _ *standin.Run) { o.Answer = standin.Event("1", 1) },
 		},
 		{
-			"a success without a run", "whole answer to its own request", standin.Safe,
-			func(l *ledger, _ *standin.Outcome, run *standin.Run) { run.RequestID = "2"; _ = l },
+			"a success without a run", "complete answer to its own request", standin.Safe,
+			func(h *history, _ *standin.Outcome, run *standin.Run) { run.RequestID = "2"; _ = h },
 		},
-		{"a key that is gone", "revocation", standin.Safe, func(l *ledger, o *standin.Outcome, _ *standin.Run) {
-			l.noteRevoked("k")
-			o.Sent = time.Now().Add(2 * RevokeMs * time.Millisecond)
+		{"a revoked key", "revocation", standin.Safe, func(h *history, o *standin.Outcome, _ *standin.Run) {
+			h.recordRevocation("k")
+			o.Sent = time.Now().Add(2 * RevocationBoundMs * time.Millisecond)
 		}},
 		{
 			"another tenant", "tenant of the key", standin.Safe,
-			func(_ *ledger, _ *standin.Outcome, run *standin.Run) { run.Tenant = "forged" },
+			func(_ *history, _ *standin.Outcome, run *standin.Run) { run.Tenant = "forged" },
 		},
 		{
-			"a key that was passed on", "headers are the system's", standin.Safe,
-			func(_ *ledger, _ *standin.Outcome, run *standin.Run) { run.Key = true },
+			"a key that was forwarded", "no key or forged header reaches a server", standin.Safe,
+			func(_ *history, _ *standin.Outcome, run *standin.Run) { run.Key = true },
 		},
 		{
 			"a longer deadline", "deadline", standin.Safe,
-			func(_ *ledger, _ *standin.Outcome, run *standin.Run) { run.DeadlineMs = 1001 },
+			func(_ *history, _ *standin.Outcome, run *standin.Run) { run.DeadlineMs = 1001 },
 		},
 		{
-			"work for a server that leaves", "no new work after leaving", standin.Safe,
-			func(l *ledger, _ *standin.Outcome, run *standin.Run) {
-				leaves(l, run, leaveSpan+lateSlack+time.Millisecond)
+			"work for a draining server", "no new work after draining entry", standin.Safe,
+			func(h *history, _ *standin.Outcome, run *standin.Run) {
+				startAfterDraining(h, run, maxPropagation+timingSlack+time.Millisecond)
 			},
 		},
 	} {
 		t.Run("finds "+c.name, func(t *testing.T) {
-			l, o, run := sound(c.kind)
-			c.spoil(l, o, run)
-			l.noteRun(*run)
-			l.noteOutcome(*o)
-			assertFinds(t, l, c.promise)
+			h, o, run := successfulRequest(c.kind)
+			c.corrupt(h, o, run)
+			h.recordRun(*run)
+			h.recordOutcome(*o)
+			assertFinds(t, h, c.guarantee)
 		})
 	}
 }
 
-// leaves has a run begin some time after its server said that it leaves.
-func leaves(l *ledger, run *standin.Run, after time.Duration) {
-	l.timed = true
-	l.left[run.Server] = time.Now().Add(-after)
+// startAfterDraining makes a run start the given time after its server's draining entry.
+func startAfterDraining(h *history, run *standin.Run, after time.Duration) {
+	h.timed = true
+	h.draining[run.Server] = time.Now().Add(-after)
 	run.Began = time.Now()
 }
 
-func TestLeavingBoundHoldsForCalmBoxes(t *testing.T) {
-	const late = leaveSpan + time.Second
+func TestDrainBoundAppliesToUndisturbedBoxes(t *testing.T) {
+	const late = maxPropagation + time.Second
 	for _, c := range []struct {
 		name string
-		// struck is what was disturbed, and how long before the run that ended.
-		struck string
-		before time.Duration
-		found  int
+		// disturbed is the name that was disturbed. before is how long before the run the
+		// disturbance ended.
+		disturbed string
+		before    time.Duration
+		found     int
 	}{
-		{"a calm box", "other", 0, 1},
+		{"an undisturbed box", "other", 0, 1},
 		{"a box that is disturbed", "b", 0, 0},
-		{"a box that was disturbed until the server left", "b", late, 0},
-		{"a box that was disturbed long before", "b", late + contactSpan + time.Second, 1},
-		{"a fleet that is disturbed", everywhere, 0, 0},
+		{"a box that was disturbed until the draining entry", "b", late, 0},
+		{"a box that was disturbed long before", "b", late + undisturbedSpan + time.Second, 1},
+		{"a fleet that is disturbed", allBoxes, 0, 0},
 		{"a server that is disturbed", "s", 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, o, run := sound(standin.Safe)
+			h, o, run := successfulRequest(standin.Safe)
 			o.Box = "b"
-			leaves(l, run, late)
-			s := l.touch.begin(c.struck, run.Began.Add(-c.before-time.Second))
+			startAfterDraining(h, run, late)
+			s := h.disturbances.begin(c.disturbed, run.Began.Add(-c.before-time.Second))
 			s.to = run.Began.Add(-c.before)
-			l.noteRun(*run)
-			l.noteOutcome(*o)
-			assert.Len(t, l.check(), c.found)
+			h.recordRun(*run)
+			h.recordOutcome(*o)
+			assert.Len(t, h.check(), c.found)
 		})
 	}
-	t.Run("is not checked where the machine may be slow", func(t *testing.T) {
-		l, o, run := sound(standin.Safe)
-		leaves(l, run, late)
-		l.timed = false
-		l.noteRun(*run)
-		l.noteOutcome(*o)
-		assert.Empty(t, l.check())
+	t.Run("is not checked in runs without time bounds", func(t *testing.T) {
+		h, o, run := successfulRequest(standin.Safe)
+		startAfterDraining(h, run, late)
+		h.timed = false
+		h.recordRun(*run)
+		h.recordOutcome(*o)
+		assert.Empty(t, h.check())
 	})
 }
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -1,6 +1,6 @@
-// Package soak runs the real programs as separate processes, injects faults from
-// outside them, and checks the fleet's promises from what callers and upstreams
-// see. It is the only package that starts processes.
+// Package soak runs the real programs as separate processes, injects faults from outside, and
+// checks the fleet's guarantees against what callers and upstreams observe. It is the only
+// package that starts processes.
 package soak
 
 import (
@@ -12,74 +12,74 @@
 	"time"
 )
 
-// linkFault is a way for a link to misbehave.
+// linkFault is a network fault of a link.
 type linkFault string
 
 // Faults of a link.
 const (
-	linkWell    linkFault = ""
+	linkHealthy linkFault = ""
 	linkDelayed linkFault = "delayed"
-	// linkReset resets what is open and what comes.
+	// linkReset resets open and new connections.
 	linkReset linkFault = "reset"
-	// linkSilent passes nothing on and closes nothing.
-	linkSilent linkFault = "silent"
-	// linkNoAnswers passes on what the caller sends, and nothing back.
+	// linkBlackhole forwards nothing and closes nothing.
+	linkBlackhole linkFault = "silent"
+	// linkNoAnswers forwards what the caller sends, but nothing in the other direction.
 	linkNoAnswers linkFault = "no answers"
-	// linkStale loses for good what the connections carry that are open when it begins.
-	// New ones work.
+	// linkStale permanently drops the bytes of connections that are open when the fault begins.
+	// New connections work.
 	linkStale linkFault = "stale"
-	// linkRefused resets what is open and refuses what comes, as a host does whose process has
-	// ended.
+	// linkRefused resets open connections and refuses new ones, like a host whose process has
+	// exited.
 	linkRefused linkFault = "refused"
 )
 
 const (
-	linkDelay   = 60 * time.Millisecond
-	linkLook    = 5 * time.Millisecond
-	linkBuffer  = 16 << 10
-	dialTimeout = time.Second
+	linkDelay        = 60 * time.Millisecond
+	linkPollInterval = 5 * time.Millisecond
+	linkBuffer       = 16 << 10
+	dialTimeout      = time.Second
 )
 
-// link is a loopback proxy between two processes.
+// link is a loopback TCP proxy between two processes that can inject network faults.
 type link struct {
 	target func() string
-	port   string
+	addr   string
 
 	mu       sync.Mutex
 	listener net.Listener
 	fault    linkFault
 	conns    map[net.Conn]struct{}
-	// stale are those of them whose bytes are lost.
+	// stale are the members of conns whose bytes are dropped.
 	stale map[net.Conn]struct{}
 }
 
-// newLink listens on a free port of an IP number and passes connections on to a target, which
-// may change. While connections are refused something else on that number may take the port, so
-// it belongs to one run.
+// newLink listens on a free port of an IP address and forwards connections to a target, which
+// may change. While the link refuses connections, another listener on that address may take the
+// port, so the address must not be shared between runs.
 func newLink(ip string, target func() string) (*link, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return nil, err
 	}
 	l := &link{
-		listener: listener, port: listener.Addr().String(), target: target,
+		listener: listener, addr: listener.Addr().String(), target: target,
 		conns: map[net.Conn]struct{}{}, stale: map[net.Conn]struct{}{},
 	}
-	go l.run(listener)
+	go l.acceptLoop(listener)
 	return l, nil
 }
 
-func (l *link) address() string { return l.port }
+func (l *link) address() string { return l.addr }
 
-// listenAgain opens the listener that linkRefused had closed. Something else may hold the port
-// for an instant; then it is tried at the next change.
-func (l *link) listenAgain() {
-	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", l.port)
+// reopenListener reopens the listener that linkRefused closed. If another socket holds the port
+// at that moment, the listener stays closed until the link leaves linkRefused again.
+func (l *link) reopenListener() {
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", l.addr)
 	if err != nil {
 		return
 	}
 	l.listener = listener
-	go l.run(listener)
+	go l.acceptLoop(listener)
 }
 
 func (l *link) set(fault linkFault) {
@@ -88,7 +88,7 @@
 	case fault == linkRefused && l.fault != linkRefused:
 		_ = l.listener.Close()
 	case fault != linkRefused && l.fault == linkRefused:
-		l.listenAgain()
+		l.reopenListener()
 	}
 	l.fault = fault
 	conns := l.conns
@@ -106,7 +106,7 @@
 	}
 }
 
-func (l *link) now() linkFault {
+func (l *link) currentFault() linkFault {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fault
@@ -114,55 +114,56 @@
 
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// What follows is the close; a linger that can't be set only makes it mild.
+		// If linger can't be set, the following close sends a FIN instead of a reset.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-func (l *link) run(listener net.Listener) {
+func (l *link) acceptLoop(listener net.Listener) {
 	for {
-		near, err := listener.Accept()
+		inbound, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.serve(near)
+		go l.serve(inbound)
 	}
 }
 
-func (l *link) serve(near net.Conn) {
-	if now := l.now(); now == linkReset || now == linkRefused {
-		reset(near)
+func (l *link) serve(inbound net.Conn) {
+	if currentFault := l.currentFault(); currentFault == linkReset || currentFault == linkRefused {
+		reset(inbound)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	far, err := (&net.Dialer{}).DialContext(ctx, "tcp", l.target())
+	outbound, err := (&net.Dialer{}).DialContext(ctx, "tcp", l.target())
 	if err != nil {
-		reset(near)
+		reset(inbound)
 		return
 	}
 	l.mu.Lock()
-	l.conns[near], l.conns[far] = struct{}{}, struct{}{}
+	l.conns[inbound], l.conns[outbound] = struct{}{}, struct{}{}
 	l.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { l.pass(near, far, true) })
-	both.Go(func() { l.pass(far, near, false) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { l.copyDirection(inbound, outbound, true) })
+	directions.Go(func() { l.copyDirection(outbound, inbound, false) })
+	directions.Wait()
 	l.mu.Lock()
-	for _, c := range []net.Conn{near, far} {
+	for _, c := range []net.Conn{inbound, outbound} {
 		delete(l.conns, c)
 		delete(l.stale, c)
 	}
 	l.mu.Unlock()
 }
 
-// pass copies one direction. A fault holds bytes up; when it ends, they go on.
-func (l *link) pass(from, to net.Conn, forward bool) {
+// copyDirection forwards the bytes of one direction. A fault may hold bytes back; they are
+// forwarded when it ends.
+func (l *link) copyDirection(from, to net.Conn, forward bool) {
 	buffer := make([]byte, linkBuffer)
 	for {
 		n, err := from.Read(buffer)
-		l.hold(forward)
+		l.applyFault(forward)
 		if n > 0 && !l.isStale(from) {
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				reset(from)
@@ -170,7 +171,7 @@
 			}
 		}
 		if err != nil {
-			l.end(to, err)
+			l.closeDirection(to, err)
 			return
 		}
 	}
@@ -183,12 +184,12 @@
 	return stale
 }
 
-// hold waits while the direction is held up.
-func (l *link) hold(forward bool) {
+// applyFault delays or blocks a direction as the current fault requires.
+func (l *link) applyFault(forward bool) {
 	for {
-		switch fault := l.now(); {
-		case fault == linkSilent, fault == linkNoAnswers && !forward:
-			time.Sleep(linkLook)
+		switch fault := l.currentFault(); {
+		case fault == linkBlackhole, fault == linkNoAnswers && !forward:
+			time.Sleep(linkPollInterval)
 		case fault == linkDelayed:
 			time.Sleep(linkDelay)
 			return
@@ -198,11 +199,11 @@
 	}
 }
 
-// end passes on the end of a direction as it came: a close, or a reset.
-func (l *link) end(to net.Conn, err error) {
+// closeDirection forwards the end of a direction in kind: a half-close or a reset.
+func (l *link) closeDirection(to net.Conn, err error) {
 	tcp, ok := to.(*net.TCPConn)
 	if ok && err == io.EOF { //nolint:errorlint // Read returns it bare.
-		// The other direction goes on.
+		// The other direction stays open.
 		_ = tcp.CloseWrite()
 		return
 	}
--- a/internal/soak/link_test.go
+++ b/internal/soak/link_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers each connection with what it sends.
+// echo starts a TCP echo server.
 func echo(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,9 +56,9 @@
 	_, err = io.WriteString(old, "lost")
 	require.NoError(t, err)
 	assertEchoes(t, open())
-	l.set(linkWell)
+	l.set(linkHealthy)
 	assertEchoes(t, open())
-	// What the stale connection carried never arrives: its end comes first.
+	// The bytes sent over the stale connection never arrive: the read sees EOF first.
 	require.NoError(t, old.(*net.TCPConn).CloseWrite()) //nolint:forcetypeassert // Dialled as TCP.
 	rest, err := io.ReadAll(old)
 	require.NoError(t, err)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// process is one box as a process of its own.
+// process runs a box as a separate process.
 type process struct {
 	program  string
 	settings string
@@ -24,7 +24,8 @@
 	paused  bool
 }
 
-// newProcess keeps the log of a box, over all its lives, in a file.
+// newProcess writes a box's settings file and creates the log file that all of the box's
+// processes append to.
 func newProcess(program, folder, name, settings string) (*process, error) {
 	out, err := os.Create(filepath.Join(folder, name+".log"))
 	if err != nil {
@@ -37,8 +38,8 @@
 	return &process{program: program, settings: path, out: out}, nil
 }
 
-// start starts the process unless it runs: faults overlap, so that two of them may
-// want to start the same box again.
+// start starts the process unless it is running. Faults overlap, so two of them may restart the
+// same box.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,7 +53,7 @@
 	}
 	exited := make(chan struct{})
 	go func() {
-		// How it ended is in its log.
+		// The process log shows how it ended.
 		_ = command.Wait()
 		close(exited)
 	}()
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// running reports whether the process that was started last has not ended.
+// running reports whether the most recently started process is still running.
 func (p *process) running() bool {
 	if p.command == nil {
 		return false
@@ -73,7 +74,7 @@
 	}
 }
 
-// signal sends a signal to the process that was started, by its id.
+// signal sends a signal to the most recently started process, by its process id.
 func (p *process) signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,20 +85,20 @@
 	return nil
 }
 
-// wait waits for the end of the process and reports whether it came in time.
-func (p *process) wait(span time.Duration) bool {
+// wait waits for the process to exit and reports whether it did so before the timeout.
+func (p *process) wait(timeout time.Duration) bool {
 	p.mu.Lock()
 	exited := p.exited
 	p.mu.Unlock()
 	select {
 	case <-exited:
 		return true
-	case <-time.After(span):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for it to exit.
 func (p *process) kill() error {
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		return err
--- a/internal/soak/regressions.go
+++ b/internal/soak/regressions.go
@@ -1,32 +1,32 @@
 package soak
 
-// Regression is seeds that once failed, with what was at fault.
+// Regression holds seeds that once failed and the cause of the failure.
 type Regression struct {
 	Seeds []uint64
 	Cause string
 }
 
-// Regressions returns all seeds that ever failed, by cause.
+// Regressions returns all seeds that ever failed, grouped by cause.
 func Regressions() []Regression {
 	return []Regression{
 		{
 			Seeds: []uint64{100, 102, 103, 104, 105, 106, 107, 108, 109, 112, 114, 115, 117, 118, 126},
-			Cause: "the soak's own: a stand-in server answered a stream by a plain body when it was to answer twice",
+			Cause: "fault in the soak: a fake server answered a stream with a plain body when it was to answer twice",
 		},
 		{
 			Seeds: []uint64{131},
-			Cause: "the soak's own: two faults that overlapped started a box twice; the first process was never " +
-				"ended and called ports that a later run used",
+			Cause: "fault in the soak: two overlapping faults started a box twice; the first process was never " +
+				"killed and connected to ports that a later run used",
 		},
 		{
 			Seeds: []uint64{500, 501},
-			Cause: "boxes did not hear that servers asked them for rest in their refusals, and sent on: " +
-				"up to 10 and 8 requests in a rest",
+			Cause: "boxes ignored the Retry-After of servers' refusals and continued to send: " +
+				"up to 10 and 8 requests in one backoff period",
 		},
 		{
 			Seeds: []uint64{614, 664},
-			Cause: "the soak's own: two runs at once; while a server refused connections its port was taken by a " +
-				"server of the other run under the same id, which ran its requests",
+			Cause: "fault in the soak: two runs at the same time; while a server refused connections, a server of " +
+				"the other run with the same id took its port and ran its requests",
 		},
 	}
 }
--- a/internal/soak/response_signals.go
+++ b/internal/soak/response_signals.go
@@ -11,141 +11,142 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// Servers that speak of themselves in their answers. Their troubles have a schedule of their
-// own beside the other faults, so that each meets any of them.
+// Servers signal in their answers that they need backoff or that they drain. These signals have
+// their own schedule beside the other faults, so that each can coincide with any fault.
 const (
-	// mostRestMs is the longest rest that a server asks for.
-	mostRestMs = 4000
-	// deafSpan is how long after a server asked for rest requests may still reach it, and
-	// mostInRest how many may in the rest of the span.
-	deafSpan   = 500 * time.Millisecond
-	mostInRest = 2
+	// maxBackoffMs is the longest backoff that a server requests.
+	maxBackoffMs = 4000
+	// backoffGrace is how long after a server requested backoff requests may still reach it.
+	// maxSendsInBackoff is how many may reach it in the remaining backoff period.
+	backoffGrace      = 500 * time.Millisecond
+	maxSendsInBackoff = 2
 )
 
-// strikeWords has servers ask for rest, one, half or all of them, or leave by their answers
-// alone, one such trouble after the other until the context ends.
-func (f *fleet) strikeWords(ctx context.Context) {
+// injectSignals makes one, half or all of the servers request backoff, or one server drain by its
+// answers alone. It starts one such signal after the other until ctx ends.
+func (f *fleet) injectSignals(ctx context.Context) {
 	random := rand.New(rand.NewPCG(f.settings.Seed, 4))
 	for ctx.Err() == nil {
-		span := time.Duration(leastMs+random.IntN(faultLastMs)) * time.Millisecond
+		duration := time.Duration(minDelayMs+random.IntN(faultRangeMs)) * time.Millisecond
 		switch random.IntN(4) {
 		case 0:
-			f.leaveByAnswers(ctx, f.servers[random.IntN(len(f.servers))])
+			f.drainBySignal(ctx, f.servers[random.IntN(len(f.servers))])
 		case 1:
-			f.askRest(ctx, f.servers, span)
+			f.requestBackoff(ctx, f.servers, duration)
 		case 2:
-			f.askRest(ctx, f.servers[:len(f.servers)/2], span)
+			f.requestBackoff(ctx, f.servers[:len(f.servers)/2], duration)
 		default:
-			at := random.IntN(len(f.servers))
-			f.askRest(ctx, f.servers[at:at+1], span)
+			index := random.IntN(len(f.servers))
+			f.requestBackoff(ctx, f.servers[index:index+1], duration)
 		}
-		sleep(ctx, time.Duration(leastMs+random.IntN(faultGapMs))*time.Millisecond)
+		sleep(ctx, time.Duration(minDelayMs+random.IntN(faultGapMs))*time.Millisecond)
 	}
 }
 
-// sleep waits for a span, or until the context ends.
-func sleep(ctx context.Context, span time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, span)
+// sleep waits for a time, or until ctx ends.
+func sleep(ctx context.Context, duration time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	<-ctx.Done()
 }
 
-// incarnation is the server's current one.
+// incarnation returns the server's current incarnation.
 func (s *server) incarnation() *standin.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current
 }
 
-// askRest has servers ask for rest for a while.
-func (*fleet) askRest(ctx context.Context, servers []*server, span time.Duration) {
-	asking := []*standin.Server{}
+// requestBackoff makes servers request backoff for a time.
+func (*fleet) requestBackoff(ctx context.Context, servers []*server, duration time.Duration) {
+	requesting := []*standin.Server{}
 	for _, s := range servers {
 		current := s.incarnation()
-		current.AskRest(mostRestMs)
-		asking = append(asking, current)
+		current.AskRest(maxBackoffMs)
+		requesting = append(requesting, current)
 	}
-	sleep(ctx, span)
-	for _, one := range asking {
+	sleep(ctx, duration)
+	for _, one := range requesting {
 		one.AskRest(0)
 	}
 }
 
-// leaveByAnswers has a server say in its answers that it leaves while its entry stays as it is,
-// serve on for longer than boxes may send it work, and go.
-func (f *fleet) leaveByAnswers(ctx context.Context, s *server) {
+// drainBySignal makes a server signal in its answers that it drains, while its entry stays
+// unchanged. The server continues to serve for longer than boxes may send it work, and is then
+// replaced.
+func (f *fleet) drainBySignal(ctx context.Context, s *server) {
 	current := s.incarnation()
 	current.SayLeaving()
-	sleep(ctx, lingerSpan)
+	sleep(ctx, drainSpan)
 	if s.incarnation() != current {
 		return
 	}
-	f.entries.Lock()
-	defer f.entries.Unlock()
+	f.entriesMu.Lock()
+	defer f.entriesMu.Unlock()
 	f.store.RemoveServer(current.ID)
-	f.incarnate(s)
+	f.startIncarnation(s)
 }
 
-func (l *ledger) noteArrival(a standin.Arrival) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.arrivals = append(l.arrivals, a)
+func (h *history) recordArrival(a standin.Arrival) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.arrivals = append(h.arrivals, a)
 }
 
-// place is a box at an incarnation of a server.
-type place struct{ box, server string }
+// boxServer is a pair of a box and an incarnation of a server.
+type boxServer struct{ box, server string }
 
-// visit is a request of a box at a server.
-type visit struct {
+// delivery is a request that a box sent to a server, with the outcome of the request.
+type delivery struct {
 	standin.Arrival
 	outcome standin.Outcome
 }
 
-// visits are the requests of each box at each server, in the order of their arrival.
-func (l *ledger) visits() map[place][]visit {
+// deliveries returns the requests that each box sent to each server, in order of arrival.
+func (h *history) deliveries() map[boxServer][]delivery {
 	outcomes := map[string]standin.Outcome{}
-	for _, o := range l.outcomes {
+	for _, o := range h.outcomes {
 		outcomes[o.ID] = o
 	}
-	all := map[place][]visit{}
-	for _, a := range l.arrivals {
+	all := map[boxServer][]delivery{}
+	for _, a := range h.arrivals {
 		o := outcomes[a.RequestID]
-		at := place{box: o.Box, server: a.Server}
-		all[at] = append(all[at], visit{Arrival: a, outcome: o})
+		pair := boxServer{box: o.Box, server: a.Server}
+		all[pair] = append(all[pair], delivery{Arrival: a, outcome: o})
 	}
 	for _, list := range all {
-		slices.SortFunc(list, func(a, b visit) int { return a.At.Compare(b.At) })
+		slices.SortFunc(list, func(a, b delivery) int { return a.At.Compare(b.At) })
 	}
 	return all
 }
 
-// checkWords looks whether boxes heeded what servers said of themselves.
-func (l *ledger) checkWords() []finding {
-	findings := []finding{}
-	for at, list := range l.visits() {
+// checkSignals checks whether boxes respected the signals in servers' answers.
+func (h *history) checkSignals() []violation {
+	violations := []violation{}
+	for pair, list := range h.deliveries() {
 		for _, v := range list {
-			if count := l.inRest(at, list, v); count > mostInRest {
-				findings = append(findings, finding{
-					"rest that a server asked for", v.RequestID,
-					fmt.Sprintf("%s sent %s %d requests in %d ms of rest", at.box, at.server, count, v.RestMs),
+			if count := h.sendsInBackoff(pair, list, v); count > maxSendsInBackoff {
+				violations = append(violations, violation{
+					"Retry-After is respected", v.RequestID,
+					fmt.Sprintf("%s sent %s %d requests in a backoff of %d ms", pair.box, pair.server, count, v.RestMs),
 				})
 			}
 		}
-		if late := l.afterLeaving(at, list); late != "" {
-			findings = append(findings, finding{
-				"no new work after an answer that says leaving", late, at.box + " sent it to " + at.server,
+		if late := h.lateAfterSignal(pair, list); late != "" {
+			violations = append(violations, violation{
+				"no new work after a Server-Leaving answer", late, pair.box + " sent it to " + pair.server,
 			})
 		}
 	}
-	return findings
+	return violations
 }
 
-// inRest counts the requests that came in the rest that a server asked for in its answer to
-// one, if nothing struck the box or the server's link meanwhile.
-func (l *ledger) inRest(at place, list []visit, asked visit) int {
-	from := asked.At.Add(deafSpan + lateSlack)
-	until := asked.At.Add(time.Duration(asked.RestMs) * time.Millisecond)
-	if !until.After(from) || !l.undisturbed(at, asked.At, until) {
+// sendsInBackoff counts the requests that arrived during the backoff that a server requested in
+// its refusal. It returns 0 if the box or the server's link was disturbed meanwhile.
+func (h *history) sendsInBackoff(pair boxServer, list []delivery, refusal delivery) int {
+	from := refusal.At.Add(backoffGrace + timingSlack)
+	until := refusal.At.Add(time.Duration(refusal.RestMs) * time.Millisecond)
+	if !until.After(from) || !h.noDisturbance(pair, refusal.At, until) {
 		return 0
 	}
 	count := 0
@@ -157,30 +158,31 @@
 	return count
 }
 
-// afterLeaving returns a request that a client sent too late after the box had passed on an
-// answer by which the server leaves, or "".
-func (l *ledger) afterLeaving(at place, list []visit) string {
-	var told time.Time
+// lateAfterSignal returns the id of a request that a client sent too late after the box had
+// forwarded an answer in which the server signals that it drains, or "".
+func (h *history) lateAfterSignal(pair boxServer, list []delivery) string {
+	var signalled time.Time
 	for _, v := range list {
-		if v.Leaving && v.outcome.Whole && (told.IsZero() || v.outcome.Ended.Before(told)) {
-			told = v.outcome.Ended
+		if v.Leaving && v.outcome.Whole && (signalled.IsZero() || v.outcome.Ended.Before(signalled)) {
+			signalled = v.outcome.Ended
 		}
 	}
 	for _, v := range list {
-		late := !told.IsZero() && v.outcome.Sent.After(told.Add(leaveSpan+lateSlack))
-		if late && l.undisturbed(at, told, v.At) {
+		late := !signalled.IsZero() && v.outcome.Sent.After(signalled.Add(maxPropagation+timingSlack))
+		if late && h.noDisturbance(pair, signalled, v.At) {
 			return v.RequestID
 		}
 	}
 	return ""
 }
 
-// undisturbed reports whether nothing struck a box, or a server's link, in a span.
-func (l *ledger) undisturbed(at place, from, to time.Time) bool {
-	return l.touch.calm(at.box, from, to) && l.touch.calm(idOf(at.server), from, to)
+// noDisturbance reports whether neither the box nor the server's link was disturbed during the
+// given time.
+func (h *history) noDisturbance(pair boxServer, from, to time.Time) bool {
+	return h.disturbances.undisturbed(pair.box, from, to) && h.disturbances.undisturbed(idOf(pair.server), from, to)
 }
 
-// idOf is the id of a server whose id and start are given.
+// idOf returns the server id of an incarnation, which is written as id@start.
 func idOf(incarnation string) string {
 	id, _, _ := strings.Cut(incarnation, "@")
 	return id
--- a/internal/soak/response_signals_test.go
+++ b/internal/soak/response_signals_test.go
@@ -11,51 +11,51 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// visited returns a ledger of requests that a box sent to a server, one each 200 ms; say is what
-// the server said to the first.
-func visited(count int, say func(a *standin.Arrival)) *ledger {
-	l := newLedger()
+// historyWithSignal returns a history of requests that a box sent to a server every 200 ms. signal sets the
+// signal in the server's answer to the first.
+func historyWithSignal(count int, signal func(a *standin.Arrival)) *history {
+	h := newHistory()
 	began := time.Now()
 	for i := range count {
 		at := began.Add(time.Duration(i) * 200 * time.Millisecond)
 		call := standin.Call{ID: fmt.Sprint("w", i), Kind: standin.Safe}
 		a := standin.Arrival{RequestID: call.ID, Server: "s@1", At: at}
 		if i == 0 {
-			say(&a)
+			signal(&a)
 		}
-		l.noteArrival(a)
-		l.noteOutcome(standin.Outcome{
+		h.recordArrival(a)
+		h.recordOutcome(standin.Outcome{
 			Call: call, Box: "b", Sent: at, Ended: at, Status: http.StatusServiceUnavailable, Whole: true,
 		})
 	}
-	return l
+	return h
 }
 
-// TestCheckWords sends to servers as boxes would that don't hear what servers say.
-func TestCheckWords(t *testing.T) {
-	const rest = "rest that a server asked for"
-	asks := func(a *standin.Arrival) { a.RestMs = 2000 }
-	leaves := func(a *standin.Arrival) { a.Leaving = true }
-	t.Run("three requests in a rest are found", func(t *testing.T) {
+// TestCheckSignals records requests as boxes would send them that ignore servers' signals.
+func TestCheckSignals(t *testing.T) {
+	const guarantee = "Retry-After is respected"
+	backoff := func(a *standin.Arrival) { a.RestMs = 2000 }
+	drains := func(a *standin.Arrival) { a.Leaving = true }
+	t.Run("finds three requests in a backoff period", func(t *testing.T) {
 		// 1.0, 1.2 and 1.4 s after the refusal.
-		assertFinds(t, visited(8, asks), rest)
+		assertFinds(t, historyWithSignal(8, backoff), guarantee)
 	})
-	t.Run("two aren't, nor what comes at once or after it", func(t *testing.T) {
-		assert.Empty(t, visited(7, asks).check())
-		assert.Empty(t, visited(20, func(a *standin.Arrival) { a.RestMs = 1300 }).check())
+	t.Run("accepts two, and any directly after the refusal or after the backoff", func(t *testing.T) {
+		assert.Empty(t, historyWithSignal(7, backoff).check())
+		assert.Empty(t, historyWithSignal(20, func(a *standin.Arrival) { a.RestMs = 1300 }).check())
 	})
-	t.Run("a box that was struck meanwhile is excused", func(t *testing.T) {
-		l := visited(8, asks)
-		l.touch.begin("b", time.Now())
-		assert.Empty(t, l.check())
+	t.Run("does not apply to a disturbed box", func(t *testing.T) {
+		h := historyWithSignal(8, backoff)
+		h.disturbances.begin("b", time.Now())
+		assert.Empty(t, h.check())
 	})
-	t.Run("so is one whose link to the server was", func(t *testing.T) {
-		l := visited(8, asks)
-		l.touch.begin("s", time.Now())
-		assert.Empty(t, l.check())
+	t.Run("does not apply if the server's link was disturbed", func(t *testing.T) {
+		h := historyWithSignal(8, backoff)
+		h.disturbances.begin("s", time.Now())
+		assert.Empty(t, h.check())
 	})
-	t.Run("a request later than may be after an answer that says leaving is found", func(t *testing.T) {
-		assertFinds(t, visited(13, leaves), "no new work after an answer that says leaving")
-		assert.Empty(t, visited(12, leaves).check())
+	t.Run("finds a request sent too late after a Server-Leaving answer", func(t *testing.T) {
+		assertFinds(t, historyWithSignal(13, drains), "no new work after a Server-Leaving answer")
+		assert.Empty(t, historyWithSignal(12, drains).check())
 	})
 }
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -7,66 +7,69 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// Bounds of a copy from which the store comes back.
+// Bounds of a restore of the store from a backup.
 const (
-	// maxCopyAgeMs is how old it is at most.
-	maxCopyAgeMs = 7000
-	// writtenAgainMs is within which time all is written again.
-	writtenAgainMs = 1500
+	// maxBackupAgeMs is the maximum age of the backup.
+	maxBackupAgeMs = 7000
+	// rewriteSpanMs is the time within which servers and operators rewrite their data after the
+	// restore.
+	rewriteSpanMs = 1500
 )
 
-// restoreStore has the store go away and come back from a copy. Servers and operators write theirs
-// again a little later each.
+// restoreStore makes the store unavailable and restores it from a backup. Servers and operators
+// rewrite their data after the restore, each after a random delay.
 func restoreStore(f *fleet) (func(*fleet) error, error) {
-	undisturb := f.disturb(everywhere)
+	endDisturbance := f.disturb(allBoxes)
 	f.store.SetFault(standin.StoreReset)
 	return func(f *fleet) error {
-		f.store.Restore(time.Duration(f.draw(maxCopyAgeMs)) * time.Millisecond)
+		f.store.Restore(time.Duration(f.draw(maxBackupAgeMs)) * time.Millisecond)
 		f.store.SetFault(standin.StoreWell)
-		f.later(func() {
+		f.runLater(func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.store.PutConfig(f.config)
 		})
 		for _, s := range f.servers {
-			f.later(func() {
-				f.entries.Lock()
-				defer f.entries.Unlock()
-				f.announceAgain(s)
+			f.runLater(func() {
+				f.entriesMu.Lock()
+				defer f.entriesMu.Unlock()
+				f.refreshEntry(s)
 			})
 		}
-		f.ends.Go(func() {
-			time.Sleep(writtenAgainMs * time.Millisecond)
-			undisturb()
+		f.background.Go(func() {
+			time.Sleep(rewriteSpanMs * time.Millisecond)
+			endDisturbance()
 		})
 		return nil
 	}, nil
 }
 
-// later does something within the time in which all is written again.
-func (f *fleet) later(do func()) {
-	wait := time.Duration(f.draw(writtenAgainMs)) * time.Millisecond
-	f.ends.Go(func() {
+// runLater runs fn in the background after a random delay within rewriteSpanMs.
+func (f *fleet) runLater(fn func()) {
+	wait := time.Duration(f.draw(rewriteSpanMs)) * time.Millisecond
+	f.background.Go(func() {
 		time.Sleep(wait)
-		do()
+		fn()
 	})
 }
 
-// announceAgain lets a server that lives, and whose entry no other writer holds, write its entry.
-func (f *fleet) announceAgain(s *server) {
+// refreshEntry rewrites a server's entry unless the server is down or another writer's entry
+// replaces it.
+func (f *fleet) refreshEntry(s *server) {
 	s.mu.Lock()
-	down, leaving, replaced := s.down, s.leaving, s.replaced
+	down, draining, replaced := s.down, s.draining, s.replaced
 	s.mu.Unlock()
 	if !down && !replaced {
-		f.announce(s, leaving)
+		f.writeEntry(s, draining)
 	}
 }
 
-// heartbeatMs is how often servers write their entries, so that a copy lacks many of them.
+// heartbeatMs is the interval at which servers rewrite their entries, so that a backup lacks many
+// recent writes.
 const heartbeatMs = 400
 
-// heartbeats lets servers write their entries while the store takes them.
-func (f *fleet) heartbeats(ctx context.Context) {
+// writeHeartbeats rewrites the entries of all servers periodically while the store has no fault.
+func (f *fleet) writeHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatMs * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -79,17 +82,17 @@
 			continue
 		}
 		for _, s := range f.servers {
-			f.entries.Lock()
-			f.announceAgain(s)
-			f.entries.Unlock()
+			f.entriesMu.Lock()
+			f.refreshEntry(s)
+			f.entriesMu.Unlock()
 		}
 	}
 }
 
-func (s *server) setLeaving(leaving bool) {
+func (s *server) setDraining(draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = leaving
+	s.draining = draining
 }
 
 func (s *server) setReplaced(replaced bool) {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -13,10 +13,10 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// ErrBroken means that a promise was broken.
-var ErrBroken = errors.New("a promise was broken")
+// ErrGuaranteeViolated means that a run violated a guarantee.
+var ErrGuaranteeViolated = errors.New("a guarantee was violated")
 
-// Report is what one run showed.
+// Report is the result of one run.
 type Report struct {
 	Seed     uint64
 	Requests int
@@ -24,27 +24,27 @@
 	Faults   map[string]int
 	Findings []string
 	Calls    int
-	// Fatal is how the request went under which servers end.
-	Fatal fatalFigures
+	// Fatal holds the figures of the fatal request, which crashes servers.
+	Fatal fatalStats
 }
 
 // Timing of a run.
 const (
-	startSpan = 1500 * time.Millisecond
-	// Faults come every 100 to 700 ms and last 100 ms to 3 s, so that some overlap.
-	faultGapMs   = 600
-	faultLastMs  = 2900
-	leastMs      = 100
-	callGapMs    = 40
-	leastCallMs  = 400
-	callRangeMs  = 3600
-	settleSpan   = 1500 * time.Millisecond
-	endsAtMost   = 12
-	giveUpOneIn  = 12
-	giveUpWithin = 300
+	startupSpan = 1500 * time.Millisecond
+	// Faults start every 100 to 700 ms and last 100 ms to 3 s, so that some overlap.
+	faultGapMs      = 600
+	faultRangeMs    = 2900
+	minDelayMs      = 100
+	callGapMs       = 40
+	minDeadlineMs   = 400
+	deadlineRangeMs = 3600
+	settleSpan      = 1500 * time.Millisecond
+	maxEndErrors    = 12
+	cancelOneIn     = 12
+	cancelWithinMs  = 300
 )
 
-// Run plays one seed.
+// Run runs one seed and returns its report.
 func Run(ctx context.Context, settings Settings) (Report, error) {
 	if err := os.MkdirAll(settings.Folder, 0o750); err != nil {
 		return Report{}, err
@@ -54,53 +54,53 @@
 	if err != nil {
 		return Report{}, err
 	}
-	time.Sleep(startSpan)
+	time.Sleep(startupSpan)
 	report := Report{Seed: settings.Seed, Faults: map[string]int{}}
 	clients, stopClients := context.WithCancel(ctx)
-	var running sync.WaitGroup
+	var workers sync.WaitGroup
 	for i := range settings.Clients {
-		running.Go(func() { f.client(clients, i) })
+		workers.Go(func() { f.runClient(clients, i) })
 	}
-	running.Go(func() { f.fatalClient(clients) })
-	running.Go(func() { f.strikeWords(clients) })
-	running.Go(func() { f.heartbeats(clients) })
-	err = f.strike(ctx, report.Faults)
+	workers.Go(func() { f.runFatalClient(clients) })
+	workers.Go(func() { f.injectSignals(clients) })
+	workers.Go(func() { f.writeHeartbeats(clients) })
+	err = f.injectFaults(ctx, report.Faults)
 	stopClients()
-	running.Wait()
-	f.ends.Wait()
-	// What was refused must not run later either.
+	workers.Wait()
+	f.background.Wait()
+	// Rejected requests must not run later either.
 	time.Sleep(settleSpan)
-	for _, found := range f.ledger.check() {
+	for _, found := range f.history.check() {
 		report.Findings = append(report.Findings, found.String())
 	}
-	report.Requests, report.Served, report.Calls = len(f.ledger.outcomes), f.ledger.served, f.store.Calls()
-	report.Fatal = f.ledger.fatalFigures()
+	report.Requests, report.Served, report.Calls = len(f.history.outcomes), f.history.served, f.store.Calls()
+	report.Fatal = f.history.fatalStats()
 	if err == nil && len(report.Findings) > 0 {
-		err = fmt.Errorf("%w: seed %d: %s", ErrBroken, settings.Seed, report.Findings[0])
+		err = fmt.Errorf("%w: seed %d: %s", ErrGuaranteeViolated, settings.Seed, report.Findings[0])
 	}
 	return report, err
 }
 
-// strike begins faults one after the other and ends each after a while.
-func (f *fleet) strike(ctx context.Context, counts map[string]int) error {
+// injectFaults starts random faults one after the other and ends each after a random time.
+func (f *fleet) injectFaults(ctx context.Context, counts map[string]int) error {
 	random := rand.New(rand.NewPCG(f.settings.Seed, 2))
 	list := faults(!f.settings.Timed)
 	until := time.Now().Add(f.settings.Span)
 	var ends sync.WaitGroup
-	errs := make(chan error, endsAtMost)
+	errs := make(chan error, maxEndErrors)
 	for time.Now().Before(until) && ctx.Err() == nil && len(errs) == 0 {
-		one := list[random.IntN(len(list))]
-		last := time.Duration(leastMs+random.IntN(faultLastMs)) * time.Millisecond
-		gap := time.Duration(leastMs+random.IntN(faultGapMs)) * time.Millisecond
-		counts[one.name]++
-		end, err := one.begin(f)
+		chosen := list[random.IntN(len(list))]
+		duration := time.Duration(minDelayMs+random.IntN(faultRangeMs)) * time.Millisecond
+		gap := time.Duration(minDelayMs+random.IntN(faultGapMs)) * time.Millisecond
+		counts[chosen.name]++
+		end, err := chosen.begin(f)
 		if err != nil {
-			return fmt.Errorf("%s: %w", one.name, err)
+			return fmt.Errorf("%s: %w", chosen.name, err)
 		}
 		ends.Go(func() {
-			time.Sleep(last)
-			if err := end(f); err != nil && len(errs) < endsAtMost {
-				errs <- fmt.Errorf("end of %s: %w", one.name, err)
+			time.Sleep(duration)
+			if err := end(f); err != nil && len(errs) < maxEndErrors {
+				errs <- fmt.Errorf("end of %s: %w", chosen.name, err)
 			}
 		})
 		time.Sleep(gap)
@@ -114,8 +114,8 @@
 	}
 }
 
-// client sends requests to all boxes in turn, on connections that it keeps.
-func (f *fleet) client(ctx context.Context, number int) {
+// runClient sends requests to random boxes over persistent connections.
+func (f *fleet) runClient(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(f.settings.Seed, uint64(100+number)))
 	clients := make([]*standin.Client, len(f.boxes))
 	for i, b := range f.boxes {
@@ -125,29 +125,29 @@
 	for sequence := 0; ctx.Err() == nil; sequence++ {
 		call := standin.Call{
 			ID:   fmt.Sprintf("%d-%d-%d", f.settings.Seed, number, sequence),
-			Kind: kinds[random.IntN(len(kinds))], Key: f.someKey(random),
-			DeadlineMs: leastCallMs + random.IntN(callRangeMs),
+			Kind: kinds[random.IntN(len(kinds))], Key: f.drawKey(random),
+			DeadlineMs: minDeadlineMs + random.IntN(deadlineRangeMs),
 		}
-		sending, cancel := context.WithCancel(context.WithoutCancel(ctx))
-		if random.IntN(giveUpOneIn) == 0 {
-			time.AfterFunc(time.Duration(random.IntN(giveUpWithin))*time.Millisecond, cancel)
+		callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+		if random.IntN(cancelOneIn) == 0 {
+			time.AfterFunc(time.Duration(random.IntN(cancelWithinMs))*time.Millisecond, cancel)
 		}
-		f.ledger.noteOutcome(clients[random.IntN(len(clients))].Do(sending, call))
+		f.history.recordOutcome(clients[random.IntN(len(clients))].Do(callCtx, call))
 		cancel()
 		time.Sleep(time.Duration(random.IntN(callGapMs)) * time.Millisecond)
 	}
 }
 
-// someKey draws a key that is, or once was, a tenant's.
-func (f *fleet) someKey(random *rand.Rand) string {
-	f.ledger.mu.Lock()
-	gone := make([]string, 0, len(f.ledger.revoked))
-	for key := range f.ledger.revoked {
-		gone = append(gone, key)
+// drawKey returns a random key that is valid or was revoked.
+func (f *fleet) drawKey(random *rand.Rand) string {
+	f.history.mu.Lock()
+	revokedKeys := make([]string, 0, len(f.history.revoked))
+	for key := range f.history.revoked {
+		revokedKeys = append(revokedKeys, key)
 	}
-	f.ledger.mu.Unlock()
-	if len(gone) > 0 && random.IntN(5) == 0 {
-		return gone[random.IntN(len(gone))]
+	f.history.mu.Unlock()
+	if len(revokedKeys) > 0 && random.IntN(5) == 0 {
+		return revokedKeys[random.IntN(len(revokedKeys))]
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
