--- /dev/null
+++ b/internal/soak/response_signals.go
@@ -0,0 +1,189 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"time"
+
+	"dooryard.example/dooryard/platform/standin"
+)
+
+// Servers signal in their answers that they need backoff or that they drain. These signals have
+// their own schedule beside the other faults, so that each can coincide with any fault.
+const (
+	// maxBackoffMs is the longest backoff that a server requests.
+	maxBackoffMs = 4000
+	// backoffGrace is how long after a server requested backoff requests may still reach it.
+	// maxSendsInBackoff is how many may reach it in the remaining backoff period.
+	backoffGrace      = 500 * time.Millisecond
+	maxSendsInBackoff = 2
+)
+
+// injectSignals makes one, half or all of the servers request backoff, or one server drain by its
+// answers alone. It starts one such signal after the other until ctx ends.
+func (f *fleet) injectSignals(ctx context.Context) {
+	random := rand.New(rand.NewPCG(f.settings.Seed, 4))
+	for ctx.Err() == nil {
+		duration := time.Duration(minDelayMs+random.IntN(faultRangeMs)) * time.Millisecond
+		switch random.IntN(4) {
+		case 0:
+			f.drainBySignal(ctx, f.servers[random.IntN(len(f.servers))])
+		case 1:
+			f.requestBackoff(ctx, f.servers, duration)
+		case 2:
+			f.requestBackoff(ctx, f.servers[:len(f.servers)/2], duration)
+		default:
+			index := random.IntN(len(f.servers))
+			f.requestBackoff(ctx, f.servers[index:index+1], duration)
+		}
+		sleep(ctx, time.Duration(minDelayMs+random.IntN(faultGapMs))*time.Millisecond)
+	}
+}
+
+// sleep waits for a time, or until ctx ends.
+func sleep(ctx context.Context, duration time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, duration)
+	defer cancel()
+	<-ctx.Done()
+}
+
+// incarnation returns the server's current incarnation.
+func (s *server) incarnation() *standin.Server {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.current
+}
+
+// requestBackoff makes servers request backoff for a time.
+func (*fleet) requestBackoff(ctx context.Context, servers []*server, duration time.Duration) {
+	requesting := []*standin.Server{}
+	for _, s := range servers {
+		current := s.incarnation()
+		current.AskRest(maxBackoffMs)
+		requesting = append(requesting, current)
+	}
+	sleep(ctx, duration)
+	for _, one := range requesting {
+		one.AskRest(0)
+	}
+}
+
+// drainBySignal makes a server signal in its answers that it drains, while its entry stays
+// unchanged. The server continues to serve for longer than boxes may send it work, and is then
+// replaced.
+func (f *fleet) drainBySignal(ctx context.Context, s *server) {
+	current := s.incarnation()
+	current.SayLeaving()
+	sleep(ctx, drainSpan)
+	if s.incarnation() != current {
+		return
+	}
+	f.entriesMu.Lock()
+	defer f.entriesMu.Unlock()
+	f.store.RemoveServer(current.ID)
+	f.startIncarnation(s)
+}
+
+func (h *history) recordArrival(a standin.Arrival) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.arrivals = append(h.arrivals, a)
+}
+
+// boxServer is a pair of a box and an incarnation of a server.
+type boxServer struct{ box, server string }
+
+// delivery is a request that a box sent to a server, with the outcome of the request.
+type delivery struct {
+	standin.Arrival
+	outcome standin.Outcome
+}
+
+// deliveries returns the requests that each box sent to each server, in order of arrival.
+func (h *history) deliveries() map[boxServer][]delivery {
+	outcomes := map[string]standin.Outcome{}
+	for _, o := range h.outcomes {
+		outcomes[o.ID] = o
+	}
+	all := map[boxServer][]delivery{}
+	for _, a := range h.arrivals {
+		o := outcomes[a.RequestID]
+		pair := boxServer{box: o.Box, server: a.Server}
+		all[pair] = append(all[pair], delivery{Arrival: a, outcome: o})
+	}
+	for _, list := range all {
+		slices.SortFunc(list, func(a, b delivery) int { return a.At.Compare(b.At) })
+	}
+	return all
+}
+
+// checkSignals checks whether boxes respected the signals in servers' answers.
+func (h *history) checkSignals() []violation {
+	violations := []violation{}
+	for pair, list := range h.deliveries() {
+		for _, v := range list {
+			if count := h.sendsInBackoff(pair, list, v); count > maxSendsInBackoff {
+				violations = append(violations, violation{
+					"Retry-After is respected", v.RequestID,
+					fmt.Sprintf("%s sent %s %d requests in a backoff of %d ms", pair.box, pair.server, count, v.RestMs),
+				})
+			}
+		}
+		if late := h.lateAfterSignal(pair, list); late != "" {
+			violations = append(violations, violation{
+				"no new work after a Server-Leaving answer", late, pair.box + " sent it to " + pair.server,
+			})
+		}
+	}
+	return violations
+}
+
+// sendsInBackoff counts the requests that arrived during the backoff that a server requested in
+// its refusal. It returns 0 if the box or the server's link was disturbed meanwhile.
+func (h *history) sendsInBackoff(pair boxServer, list []delivery, refusal delivery) int {
+	from := refusal.At.Add(backoffGrace + timingSlack)
+	until := refusal.At.Add(time.Duration(refusal.RestMs) * time.Millisecond)
+	if !until.After(from) || !h.noDisturbance(pair, refusal.At, until) {
+		return 0
+	}
+	count := 0
+	for _, v := range list {
+		if v.At.After(from) && v.At.Before(until) {
+			count++
+		}
+	}
+	return count
+}
+
+// lateAfterSignal returns the id of a request that a client sent too late after the box had
+// forwarded an answer in which the server signals that it drains, or "".
+func (h *history) lateAfterSignal(pair boxServer, list []delivery) string {
+	var signalled time.Time
+	for _, v := range list {
+		if v.Leaving && v.outcome.Whole && (signalled.IsZero() || v.outcome.Ended.Before(signalled)) {
+			signalled = v.outcome.Ended
+		}
+	}
+	for _, v := range list {
+		late := !signalled.IsZero() && v.outcome.Sent.After(signalled.Add(maxPropagation+timingSlack))
+		if late && h.noDisturbance(pair, signalled, v.At) {
+			return v.RequestID
+		}
+	}
+	return ""
+}
+
+// noDisturbance reports whether neither the box nor the server's link was disturbed during the
+// given time.
+func (h *history) noDisturbance(pair boxServer, from, to time.Time) bool {
+	return h.disturbances.undisturbed(pair.box, from, to) && h.disturbances.undisturbed(idOf(pair.server), from, to)
+}
+
+// idOf returns the server id of an incarnation, which is written as id@start.
+func idOf(incarnation string) string {
+	id, _, _ := strings.Cut(incarnation, "@")
+	return id
+}
