--- a/internal/table/edit.go
+++ b/internal/table/edit.go
@@ -1,6 +1,7 @@
-// Package table is the operators' shared table of weights and limits: sheets of
-// rows of cells. It is folded from edits on the platform's log; the fold is
-// deterministic, so that every box reaches the same verdict on every edit.
+// Package table implements the configuration table of weights and limits that
+// all operators share: sheets of rows of cells. A State is built by applying the
+// edits of the platform's log in order. Applying an edit is deterministic, so
+// every box reaches the same verdict on every edit.
 package table
 
 import (
@@ -13,32 +14,33 @@
 
 // Sentinel errors of edits.
 var (
-	// ErrMalformed means that an edit or record could not be decoded.
+	// ErrMalformed is returned for an edit or an encoded state that cannot be decoded.
 	ErrMalformed = errors.New("malformed edit")
-	// ErrInvalid means that a value is not usable in its cell.
+	// ErrInvalid is returned for a value that its cell does not allow.
 	ErrInvalid = errors.New("invalid value")
 )
 
-// Bounds of one edit.
+// Limits of one edit.
 const (
 	MaxChanges    = 5000
 	maxNameBytes  = 128
 	maxValueBytes = 8192
 )
 
-// Change sets one cell, or removes one row when Remove is set (then Column is
-// empty and BasedOn is the revision of the row's newest cell).
+// Change sets one cell or, if Remove is set, removes one row. In the latter case
+// Column is empty and BasedOn is the newest revision among the row's cells.
 type Change struct {
 	Sheet  string `json:"sheet" yaml:"sheet"`
 	Row    string `json:"row" yaml:"row"`
 	Column string `json:"column,omitempty" yaml:"column,omitempty"`
 	Value  string `json:"value,omitempty" yaml:"value,omitempty"`
-	// BasedOn is the revision that the operator saw; 0 for an empty cell.
+	// BasedOn is the revision that the operator read, or 0 if the cell was never set.
 	BasedOn int64 `json:"based_on" yaml:"based_on"`
 	Remove  bool  `json:"remove,omitempty" yaml:"remove,omitempty"`
 }
 
-// Address returns the change's place as "sheet/row/column".
+// Address returns the address of the cell as "sheet/row/column", or that of the
+// removed row as "sheet/row".
 func (c Change) Address() string {
 	if c.Remove {
 		return c.Sheet + "/" + c.Row
@@ -46,16 +48,17 @@
 	return c.Sheet + "/" + c.Row + "/" + c.Column
 }
 
-// Edit is one record of the table's log stream. All its changes hold together.
+// Edit is one record of the table's log stream. Its changes are applied
+// atomically.
 type Edit struct {
-	// ID names the edit; a second copy under the same ID folds to nothing.
+	// ID identifies the edit. A duplicate with the same ID is ignored.
 	ID       string   `json:"id"`
 	Operator string   `json:"operator"`
 	Changes  []Change `json:"changes"`
 }
 
-// UnmarshalJSON decodes and checks the shape of an edit. Whether its values fit
-// the table is the fold's decision.
+// UnmarshalJSON decodes an edit and validates its structure. State.Apply decides
+// whether its values are valid in the table.
 func (e *Edit) UnmarshalJSON(data []byte) error {
 	type wire Edit
 	decoded, err := codec.Decode[wire](data, ErrMalformed)
@@ -63,10 +66,10 @@
 		return err
 	}
 	*e = Edit(decoded)
-	return e.check()
+	return e.validate()
 }
 
-func (e *Edit) check() error {
+func (e *Edit) validate() error {
 	if e.ID == "" || len(e.ID) > maxNameBytes {
 		return fmt.Errorf("%w: id: must have 1 to %d bytes", ErrMalformed, maxNameBytes)
 	}
@@ -77,14 +80,14 @@
 		return fmt.Errorf("%w: changes: must be 1 to %d", ErrMalformed, MaxChanges)
 	}
 	for i := range e.Changes {
-		if err := e.Changes[i].check(); err != nil {
+		if err := e.Changes[i].validate(); err != nil {
 			return fmt.Errorf("changes[%d]: %w", i, err)
 		}
 	}
 	return nil
 }
 
-func (c *Change) check() error {
+func (c *Change) validate() error {
 	if c.Sheet == "" || c.Row == "" || (c.Column == "") != c.Remove {
 		return fmt.Errorf("%w: %q is not sheet/row/column", ErrMalformed, c.Address())
 	}
@@ -98,7 +101,7 @@
 	return nil
 }
 
-// Verdict is what the fold decided on one edit.
+// Verdict is the outcome of applying one edit.
 type Verdict struct {
 	ID     string  `json:"id"`
 	Offset int64   `json:"offset"`
@@ -106,7 +109,7 @@
 	Issues []Issue `json:"issues,omitempty"`
 }
 
-// Result is the short form of a verdict.
+// Result classifies a verdict.
 type Result string
 
 // Results of an edit.
@@ -116,11 +119,12 @@
 	Invalid  Result = "invalid"
 )
 
-// Issue says why one change was not taken.
+// Issue describes why one change was rejected.
 type Issue struct {
 	Address string `json:"address"`
 	Reason  string `json:"reason"`
-	// Wanted and Current are the two values of a conflict.
+	// Wanted and Current are the submitted and the current value of a cell in
+	// conflict.
 	Wanted          string `json:"wanted,omitempty"`
 	Current         string `json:"current,omitempty"`
 	CurrentRevision int64  `json:"current_revision,omitempty"`
--- a/internal/table/encode.go
+++ b/internal/table/encode.go
@@ -7,23 +7,23 @@
 	"slices"
 )
 
-// encodedState is the wire form of a State. Maps are encoded with sorted keys,
-// so that equal states have equal bytes.
+// encodedState is the JSON form of a State. encoding/json sorts the keys of maps,
+// so equal states have equal encodings.
 type encodedState struct {
-	Offset  int64                        `json:"offset"`
-	Columns map[string][]string          `json:"columns"`
-	Sheets  map[string]map[string][]Cell `json:"sheets"`
-	Old     map[string]Verdict           `json:"old_verdicts"`
-	Young   map[string]Verdict           `json:"young_verdicts"`
-	History []HistoryEntry               `json:"history"`
+	Offset           int64                        `json:"offset"`
+	Columns          map[string][]string          `json:"columns"`
+	Sheets           map[string]map[string][]Cell `json:"sheets"`
+	PreviousVerdicts map[string]Verdict           `json:"old_verdicts"`
+	CurrentVerdicts  map[string]Verdict           `json:"young_verdicts"`
+	History          []HistoryEntry               `json:"history"`
 }
 
-// Encode returns the whole state as bytes. Two boxes that folded the same log
+// Encode returns the complete state as JSON. Two boxes that applied the same log
 // up to the same offset return the same bytes.
 func (s *State) Encode() ([]byte, error) {
 	encoded := encodedState{
 		Offset: s.offset, Columns: map[string][]string{}, Sheets: map[string]map[string][]Cell{},
-		Old: s.recent.old, Young: s.recent.young, History: s.history,
+		PreviousVerdicts: s.recent.previous, CurrentVerdicts: s.recent.current, History: s.history,
 	}
 	for name, rows := range s.sheets {
 		encoded.Columns[name] = Columns(name)
@@ -39,43 +39,43 @@
 	return data, nil
 }
 
-// Decode restores a state from the bytes of Encode. Columns that this version
-// does not know are an error, for dropping them would lose accepted edits.
+// Decode restores a state from the output of Encode. It rejects columns that this
+// version does not know, because dropping them would lose accepted edits.
 func Decode(data []byte) (*State, error) {
 	var encoded encodedState
 	if err := json.Unmarshal(data, &encoded); err != nil {
 		return nil, fmt.Errorf("%w: table state: %w", ErrMalformed, err)
 	}
-	if encoded.Offset < 0 || encoded.Old == nil || encoded.Young == nil {
-		return nil, fmt.Errorf("%w: table state: incomplete", ErrMalformed)
+	if encoded.Offset < 0 || encoded.PreviousVerdicts == nil || encoded.CurrentVerdicts == nil {
+		return nil, fmt.Errorf("%w: table state: missing or invalid offset or verdicts", ErrMalformed)
 	}
 	s := New()
 	s.offset = encoded.Offset
-	s.recent = &recentEdits{old: encoded.Old, young: encoded.Young}
+	s.recent = &recentVerdicts{previous: encoded.PreviousVerdicts, current: encoded.CurrentVerdicts}
 	s.history = encoded.History
 	for name, rows := range encoded.Sheets {
 		if err := s.restoreSheet(name, encoded.Columns[name], rows); err != nil {
 			return nil, err
 		}
 	}
-	s.retype(New(), s.allRows())
+	s.rebuildTyped(New(), s.allRowNames())
 	return s, nil
 }
 
 func (s *State) restoreSheet(name string, columnNames []string, rows map[string][]Cell) error {
 	columns, known := schema[name]
 	if !known {
-		return fmt.Errorf("%w: table state: sheet %q is unknown", ErrMalformed, name)
+		return fmt.Errorf("%w: table state: unknown sheet %q", ErrMalformed, name)
 	}
-	places := make([]int, len(columnNames))
+	indexes := make([]int, len(columnNames))
 	for i, columnName := range columnNames {
-		places[i] = columns.index(columnName)
-		if places[i] < 0 {
-			return fmt.Errorf("%w: table state: column %s/%s is unknown", ErrMalformed, name, columnName)
+		indexes[i] = columns.index(columnName)
+		if indexes[i] < 0 {
+			return fmt.Errorf("%w: table state: unknown column %s/%s", ErrMalformed, name, columnName)
 		}
 	}
 	for rowName, cells := range rows {
-		if len(cells) != len(places) {
+		if len(cells) != len(indexes) {
 			return fmt.Errorf("%w: table state: row %s/%s has %d cells", ErrMalformed, name, rowName, len(cells))
 		}
 		restored := &row{columns: columns, cells: make([]Cell, len(columns))}
@@ -83,9 +83,9 @@
 			if err := CheckCell(name, rowName, columnNames[i], cell.Value); err != nil {
 				return fmt.Errorf("table state: %w", err)
 			}
-			restored.cells[places[i]] = cell
+			restored.cells[indexes[i]] = cell
 		}
-		if missing := restored.missing(name + "/" + rowName); len(missing) > 0 {
+		if missing := restored.missingCells(name + "/" + rowName); len(missing) > 0 {
 			return fmt.Errorf("%w: table state: %s: %s", ErrMalformed, missing[0].Address, missing[0].Reason)
 		}
 		s.sheets[name][rowName] = restored
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func (s *State) allRows() map[string]map[string]bool {
+func (s *State) allRowNames() map[string]map[string]bool {
 	names := map[string]map[string]bool{}
 	for name, rows := range s.sheets {
 		names[name] = map[string]bool{}
--- a/internal/table/recent.go
+++ b/internal/table/recent.go
@@ -2,37 +2,37 @@
 
 import "maps"
 
-// generationSize is how many verdicts one generation keeps. Between one and two
-// generations are remembered, which is hours at the target's rate of edits. An
-// even later second copy still changes nothing: its own first copy has moved the
-// revisions that it is based on, so it meets a conflict.
+// generationSize is the number of verdicts in one full generation. The state
+// keeps between one and two generations, which cover hours at the target rate of
+// edits. A duplicate that arrives even later still changes nothing: its original
+// advanced the revisions that both are based on, so it is rejected as a conflict.
 const generationSize = 2048
 
-// recentEdits remembers the verdicts of the newest edits in two generations. It
-// is immutable and a pure function of the log, so that snapshots carry it whole.
-type recentEdits struct {
-	old, young map[string]Verdict
+// recentVerdicts holds the verdicts on the newest edits in two generations. It is
+// immutable. It depends only on the log, so snapshots include all of it.
+type recentVerdicts struct {
+	previous, current map[string]Verdict
 }
 
-func newRecentEdits() *recentEdits {
-	return &recentEdits{old: map[string]Verdict{}, young: map[string]Verdict{}}
+func newRecentVerdicts() *recentVerdicts {
+	return &recentVerdicts{previous: map[string]Verdict{}, current: map[string]Verdict{}}
 }
 
-func (r *recentEdits) find(id string) (Verdict, bool) {
-	if verdict, found := r.young[id]; found {
+func (r *recentVerdicts) lookup(id string) (Verdict, bool) {
+	if verdict, found := r.current[id]; found {
 		return verdict, true
 	}
-	verdict, found := r.old[id]
+	verdict, found := r.previous[id]
 	return verdict, found
 }
 
-func (r *recentEdits) with(verdict Verdict) *recentEdits {
-	next := &recentEdits{old: r.old, young: r.young}
-	if len(r.young) >= generationSize {
-		next.old = r.young
-		next.young = map[string]Verdict{}
+func (r *recentVerdicts) with(verdict Verdict) *recentVerdicts {
+	next := &recentVerdicts{previous: r.previous, current: r.current}
+	if len(r.current) >= generationSize {
+		next.previous = r.current
+		next.current = map[string]Verdict{}
 	}
-	next.young = maps.Clone(next.young)
-	next.young[verdict.ID] = verdict
+	next.current = maps.Clone(next.current)
+	next.current[verdict.ID] = verdict
 	return next
 }
--- a/internal/table/rows.go
+++ b/internal/table/rows.go
@@ -11,7 +11,7 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Values of the upstreams' columns.
+// Values of the columns "kind" and "state" of the upstreams sheet.
 const (
 	KindEngine    = "engine"
 	KindService   = "service"
@@ -19,13 +19,14 @@
 	StateDraining = "draining"
 )
 
-// Defaults of empty cells.
+// Default values for empty cells.
 const (
 	defaultWeight = 100
 	defaultSlots  = 256
 )
 
-// Organisation is one row of the organisations sheet. Zero limits are none.
+// Organisation is one row of the organisations sheet. A limit of zero means that
+// there is no limit.
 type Organisation struct {
 	Name        string
 	KeyHash     string
@@ -35,21 +36,22 @@
 	Priority    int
 }
 
-// Model is one row of the models sheet. Zero fields take the box's settings.
+// Model is one row of the models sheet. For fields of zero, the settings of the
+// box apply.
 type Model struct {
 	Name             string
 	DeadlineMs       clock.Millis
 	LoadBoundPercent int
 }
 
-// Upstream is one row of the upstreams sheet: an engine or a plain service's
-// server.
+// Upstream is one row of the upstreams sheet: an engine, or a server of a plain
+// service.
 type Upstream struct {
 	Name          string
 	Kind          string
 	Address       string
 	FailureDomain string
-	// Serves lists the models of an engine, or the services of a server.
+	// Serves lists the models of an engine or the services of a server.
 	Serves       []string
 	Weight       int
 	Draining     bool
@@ -64,20 +66,22 @@
 	DeadlineMs clock.Millis
 }
 
-// Rule names calls of a service by method and path prefix; "*" is any method.
+// Rule matches requests to a service by method and path prefix. The method "*"
+// matches any method.
 type Rule struct {
 	Method string
 	Prefix string
 }
 
-// MayRepeat reports whether a call of the service may run more than once.
+// MayRepeat reports whether a request to the service may safely run more than
+// once.
 func (s *Service) MayRepeat(method, path string) bool {
 	return slices.ContainsFunc(s.Repeatable, func(r Rule) bool {
 		return (r.Method == "*" || r.Method == method) && strings.HasPrefix(path, r.Prefix)
 	})
 }
 
-// parseRules reads "GET /; POST /search".
+// parseRules parses a list of rules such as "GET /; POST /search".
 func parseRules(value string) ([]Rule, error) {
 	rules := []Rule{}
 	for _, part := range splitList(value) {
@@ -90,21 +94,22 @@
 	return rules, nil
 }
 
-// HashKey returns what the table keeps of a caller's key.
+// HashKey returns the SHA-256 of a caller's key in lower-case hex digits. The
+// table stores this hash instead of the key.
 func HashKey(key string) string {
 	digest := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(digest[:])
 }
 
 func (r *row) text(name string) string {
-	at := r.columns.index(name)
-	return r.cells[at].Value
+	index := r.columns.index(name)
+	return r.cells[index].Value
 }
 
-func (r *row) number(name string, otherwise int) int {
+func (r *row) number(name string, defaultValue int) int {
 	number, err := strconv.Atoi(r.text(name))
 	if err != nil {
-		return otherwise
+		return defaultValue
 	}
 	return number
 }
@@ -145,7 +150,7 @@
 func (r *row) service(name string) *Service {
 	rules := []Rule{}
 	if value := r.text("repeatable"); value != "" {
-		// The cell was checked when it was accepted.
+		// Parsing cannot fail: the value was validated when the edit was accepted.
 		rules, _ = parseRules(value)
 	}
 	return &Service{Name: name, Repeatable: rules, DeadlineMs: clock.Millis(r.number("deadline_ms", 0))}
--- a/internal/table/schema.go
+++ b/internal/table/schema.go
@@ -18,18 +18,18 @@
 	Services      = "services"
 )
 
-// column is one column of a sheet: its name, whether a row needs it, and the
-// check of a value.
+// column describes one column of a sheet. A required column must have a value in
+// every row; check validates a value.
 type column struct {
 	name     string
 	required bool
 	check    func(value string) error
 }
 
-// sheet is the ordered columns of one sheet.
-type sheet []column
+// sheetSchema lists the columns of one sheet in display order.
+type sheetSchema []column
 
-// Bounds of numbers in cells.
+// Limits of the numbers and hashes in cells.
 const (
 	maxWeight     = 10_000
 	maxRate       = 1_000_000
@@ -39,10 +39,10 @@
 	keyHashBytes  = 32
 )
 
-var rowPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:-]*$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:-]*$`)
 
-// schema lists every sheet and its columns in display order.
-var schema = map[string]sheet{
+// schema maps the name of each sheet to its columns.
+var schema = map[string]sheetSchema{
 	Organisations: {
 		{"key_sha256", true, checkKeyHash},
 		{"weight", false, checkNumber(1, maxWeight)},
@@ -70,10 +70,11 @@
 	},
 }
 
-// SheetNames returns the names of the sheets, sorted.
+// SheetNames returns the sorted names of all sheets.
 func SheetNames() []string { return []string{Models, Organisations, Services, Upstreams} }
 
-// Columns returns the column names of a sheet in display order, or nil.
+// Columns returns the column names of a sheet in display order. The result is
+// empty if the sheet is unknown.
 func Columns(sheetName string) []string {
 	names := []string{}
 	for _, c := range schema[sheetName] {
@@ -82,40 +83,42 @@
 	return names
 }
 
-func (s sheet) index(name string) int {
+func (s sheetSchema) index(name string) int {
 	return slices.IndexFunc(s, func(c column) bool { return c.name == name })
 }
 
-// CheckCell reports whether a value fits a cell; an empty value clears it.
+// CheckCell returns an error wrapping ErrInvalid unless the sheet and column
+// exist, the row name is valid and the cell allows the value. The empty value is
+// always allowed and clears the cell.
 func CheckCell(sheetName, row, columnName, value string) error {
 	columns, known := schema[sheetName]
 	if !known {
 		return fmt.Errorf("%w: sheet %q: unknown, have %v", ErrInvalid, sheetName, SheetNames())
 	}
-	if !rowPattern.MatchString(row) {
+	if !namePattern.MatchString(row) {
 		return fmt.Errorf("%w: %s: row %q: only letters, digits and . _ : -", ErrInvalid, sheetName, row)
 	}
-	at := columns.index(columnName)
-	if at < 0 {
+	index := columns.index(columnName)
+	if index < 0 {
 		return fmt.Errorf("%w: %s: column %q: unknown, have %v", ErrInvalid, sheetName, columnName, Columns(sheetName))
 	}
 	if value == "" {
 		return nil
 	}
-	if err := columns[at].check(value); err != nil {
+	if err := columns[index].check(value); err != nil {
 		return fmt.Errorf("%w: %s/%s/%s: %w", ErrInvalid, sheetName, row, columnName, err)
 	}
 	return nil
 }
 
-func checkNumber(low, high int64) func(string) error {
+func checkNumber(minimum, maximum int64) func(string) error {
 	return func(value string) error {
 		number, err := strconv.ParseInt(value, 10, 64)
 		if err != nil {
 			return fmt.Errorf("%q is not a whole number", value)
 		}
-		if number < low || number > high {
-			return fmt.Errorf("%d is outside %d to %d", number, low, high)
+		if number < minimum || number > maximum {
+			return fmt.Errorf("%d is outside %d to %d", number, minimum, maximum)
 		}
 		return nil
 	}
@@ -146,7 +149,7 @@
 }
 
 func checkName(value string) error {
-	if !rowPattern.MatchString(value) {
+	if !namePattern.MatchString(value) {
 		return fmt.Errorf("%q is not a name", value)
 	}
 	return nil
--- a/internal/table/state.go
+++ b/internal/table/state.go
@@ -9,29 +9,30 @@
 	"strings"
 )
 
-// Cell is a value and the log offset of the edit that set it.
+// Cell is a value with its revision: the log offset of the edit that set it, plus
+// one, or 0 if the cell was never set.
 type Cell struct {
 	Value    string `json:"value"`
 	Revision int64  `json:"revision"`
 }
 
-// row is the cells of one row in the order of the sheet's columns.
+// row holds the cells of one row in the order of the sheet's columns.
 type row struct {
-	columns sheet
+	columns sheetSchema
 	cells   []Cell
 }
 
-// State is the table folded up to one offset. It is immutable: Apply returns a
-// changed copy that shares what did not change.
+// State is the table after all log records up to one offset were applied. It is
+// immutable: Apply returns a modified copy that shares its unchanged parts.
 type State struct {
 	offset  int64
 	sheets  map[string]map[string]*row
-	recent  *recentEdits
+	recent  *recentVerdicts
 	typed   typedRows
 	history []HistoryEntry
 }
 
-// typedRows are the rows in the form that requests use.
+// typedRows holds the rows as typed values for use on the request path.
 type typedRows struct {
 	organisations map[string]*Organisation
 	byKeyHash     map[string]*Organisation
@@ -40,24 +41,24 @@
 	services      map[string]*Service
 }
 
-// HistoryEntry is one accepted edit with the values it replaced.
+// HistoryEntry is one accepted edit together with the values that it replaced.
 type HistoryEntry struct {
 	Offset   int64    `json:"offset"`
 	ID       string   `json:"id"`
 	Operator string   `json:"operator"`
 	Changes  []Change `json:"changes"`
-	// Before are the replaced values, in the order of Changes.
+	// Before holds the replaced values in the order of Changes.
 	Before []string `json:"before"`
-	// Removed are the cells of removed rows in column order, by "sheet/row".
+	// Removed maps "sheet/row" to the values of a removed row in column order.
 	Removed map[string][]string `json:"removed,omitempty"`
 }
 
-// maxHistory bounds the accepted edits kept for history and undo.
+// maxHistory is the maximum number of accepted edits kept for history and undo.
 const maxHistory = 200
 
-// New returns the empty table, before any record of the log.
+// New returns an empty table to which no log record was applied.
 func New() *State {
-	s := &State{sheets: map[string]map[string]*row{}, recent: newRecentEdits()}
+	s := &State{sheets: map[string]map[string]*row{}, recent: newRecentVerdicts()}
 	for _, name := range SheetNames() {
 		s.sheets[name] = map[string]*row{}
 	}
@@ -70,48 +71,53 @@
 	return s
 }
 
-// Offset returns the offset of the next record to fold: all before it are in.
+// Offset returns the offset of the next record to apply. All earlier records were
+// applied.
 func (s *State) Offset() int64 { return s.offset }
 
-// Organisation returns an organisation by name, or nil.
+// Organisation returns the organisation with this name, or nil.
 func (s *State) Organisation(name string) *Organisation { return s.typed.organisations[name] }
 
 // OrganisationByKeyHash returns the organisation whose key has this SHA-256, in
-// small hex digits, or nil.
+// lower-case hex digits, or nil.
 func (s *State) OrganisationByKeyHash(hash string) *Organisation { return s.typed.byKeyHash[hash] }
 
-// Model returns a model by name, or nil.
+// Model returns the model with this name, or nil.
 func (s *State) Model(name string) *Model { return s.typed.models[name] }
 
-// Service returns a plain service by name, or nil.
+// Service returns the plain service with this name, or nil.
 func (s *State) Service(name string) *Service { return s.typed.services[name] }
 
-// Upstreams returns all upstreams in the order of their names. Do not change.
+// Upstreams returns all upstreams sorted by name. Callers must not modify the
+// result.
 func (s *State) Upstreams() []*Upstream { return s.typed.upstreams }
 
-// ModelNames returns the names of all models, sorted.
+// ModelNames returns the sorted names of all models.
 func (s *State) ModelNames() []string { return slices.Sorted(maps.Keys(s.typed.models)) }
 
-// History returns the newest accepted edits, oldest first. Do not change.
+// History returns the newest accepted edits, oldest first. Callers must not modify
+// the result.
 func (s *State) History() []HistoryEntry { return s.history }
 
-// Verdict returns the verdict on an edit by id while it is remembered.
-func (s *State) Verdict(id string) (Verdict, bool) { return s.recent.find(id) }
+// Verdict returns the verdict on the edit with this ID and reports whether the
+// state still holds it.
+func (s *State) Verdict(id string) (Verdict, bool) { return s.recent.lookup(id) }
 
-// Cell returns a cell; the zero Cell if it was never set.
+// Cell returns a cell, or the zero Cell if it was never set or does not exist.
 func (s *State) Cell(sheetName, rowName, columnName string) Cell {
 	r := s.sheets[sheetName][rowName]
 	if r == nil {
 		return Cell{}
 	}
-	at := r.columns.index(columnName)
-	if at < 0 {
+	index := r.columns.index(columnName)
+	if index < 0 {
 		return Cell{}
 	}
-	return r.cells[at]
+	return r.cells[index]
 }
 
-// Row returns the cells of a row in column order, or nil. Do not change.
+// Row returns the cells of a row in column order, or nil. Callers must not modify
+// the result.
 func (s *State) Row(sheetName, rowName string) []Cell {
 	r := s.sheets[sheetName][rowName]
 	if r == nil {
@@ -120,14 +126,15 @@
 	return r.cells
 }
 
-// RowNames returns the names of a sheet's rows, sorted.
+// RowNames returns the sorted names of a sheet's rows.
 func (s *State) RowNames(sheetName string) []string {
 	return slices.Sorted(maps.Keys(s.sheets[sheetName]))
 }
 
-// Apply folds the record at an offset. A record that is no edit, or an edit that
-// was not accepted, changes only the offset. The verdict has an empty id when
-// the record is no edit or a second copy.
+// Apply applies the log record at an offset and returns the resulting state. A
+// malformed record, a duplicate of an edit and an edit that is not accepted leave
+// the cells unchanged. The verdict has an empty ID if the record is malformed or
+// a duplicate.
 func (s *State) Apply(offset int64, record []byte) (*State, Verdict) {
 	next := *s
 	next.offset = offset + 1
@@ -135,10 +142,10 @@
 	if err := json.Unmarshal(record, &edit); err != nil {
 		return &next, Verdict{}
 	}
-	if _, seen := s.recent.find(edit.ID); seen {
+	if _, seen := s.recent.lookup(edit.ID); seen {
 		return &next, Verdict{}
 	}
-	verdict := s.judge(offset, edit)
+	verdict := s.evaluate(offset, edit)
 	next.recent = s.recent.with(verdict)
 	if verdict.Result == Accepted {
 		next.apply(s, offset, edit)
@@ -146,8 +153,9 @@
 	return &next, verdict
 }
 
-// judge is the verdict on an edit, as a pure function of the state before it.
-func (s *State) judge(offset int64, edit Edit) Verdict {
+// evaluate returns the verdict on an edit. It is a pure function of the edit, its
+// offset and the state before it.
+func (s *State) evaluate(offset int64, edit Edit) Verdict {
 	verdict := Verdict{ID: edit.ID, Offset: offset, Result: Accepted}
 	if issues := s.invalidChanges(edit); len(issues) > 0 {
 		verdict.Result = Invalid
@@ -176,7 +184,7 @@
 	if len(issues) > 0 {
 		return issues
 	}
-	return s.incompleteRows(edit)
+	return s.invalidRows(edit)
 }
 
 func checkChange(change Change) error {
@@ -189,8 +197,8 @@
 	return nil
 }
 
-// incompleteRows checks the rows as the edit would leave them.
-func (s *State) incompleteRows(edit Edit) []Issue {
+// invalidRows validates the rows as they would be after the edit.
+func (s *State) invalidRows(edit Edit) []Issue {
 	after := map[string]*row{}
 	issues := []Issue{}
 	for _, change := range edit.Changes {
@@ -209,15 +217,16 @@
 		after[name].set(change.Column, Cell{Value: change.Value})
 	}
 	for _, name := range slices.Sorted(maps.Keys(after)) {
-		issues = append(issues, after[name].missing(name)...)
+		issues = append(issues, after[name].missingCells(name)...)
 	}
-	return append(issues, s.sharedKeys(after)...)
+	return append(issues, s.duplicateKeyHashes(after)...)
 }
 
-// sharedKeys refuses a key hash that two organisations would have after an edit,
-// whether the edit gives it to both or one has it already.
-func (s *State) sharedKeys(after map[string]*row) []Issue {
-	holders := map[string]string{}
+// duplicateKeyHashes returns an issue for each key hash that two organisations
+// would share after an edit, whether the edit assigns it to both or one of them
+// already has it.
+func (s *State) duplicateKeyHashes(after map[string]*row) []Issue {
+	owners := map[string]string{}
 	issues := []Issue{}
 	for _, address := range slices.Sorted(maps.Keys(after)) {
 		r := after[address]
@@ -226,7 +235,7 @@
 			continue
 		}
 		hash := strings.ToLower(r.text("key_sha256"))
-		other := holders[hash]
+		other := owners[hash]
 		if old := s.OrganisationByKeyHash(hash); old != nil && after[Organisations+"/"+old.Name] == nil {
 			other = old.Name
 		}
@@ -234,12 +243,12 @@
 			reason := "another organisation has this key: " + other
 			issues = append(issues, Issue{Address: address + "/key_sha256", Reason: reason})
 		}
-		holders[hash] = name
+		owners[hash] = name
 	}
 	return issues
 }
 
-func (r *row) missing(address string) []Issue {
+func (r *row) missingCells(address string) []Issue {
 	issues := []Issue{}
 	for i := range r.cells {
 		if r.columns[i].required && r.cells[i].Value == "" {
@@ -259,7 +268,7 @@
 	return newest
 }
 
-// rowCopy returns a copy of a row, or a new empty one.
+// rowCopy returns a copy of a row, or an empty row if it does not exist.
 func (s *State) rowCopy(sheetName, rowName string) *row {
 	columns := schema[sheetName]
 	if r := s.sheets[sheetName][rowName]; r != nil {
@@ -268,11 +277,12 @@
 	return &row{columns: columns, cells: make([]Cell, len(columns))}
 }
 
-// conflicts compares the revision each change was based on with the cell's.
+// conflicts returns an issue for each change that is not based on the current
+// revision of its cell or, for a removal, of its row.
 func (s *State) conflicts(edit Edit) []Issue {
 	issues := []Issue{}
 	for _, change := range edit.Changes {
-		current := s.current(change)
+		current := s.currentCell(change)
 		if current.Revision == change.BasedOn {
 			continue
 		}
@@ -284,7 +294,7 @@
 	return issues
 }
 
-func (s *State) current(change Change) Cell {
+func (s *State) currentCell(change Change) Cell {
 	if !change.Remove {
 		return s.Cell(change.Sheet, change.Row, change.Column)
 	}
@@ -294,16 +304,16 @@
 	return Cell{}
 }
 
-// apply writes an accepted edit into s, which is a shallow copy of before. A
-// revision is the offset plus one, so that 0 always means "never set".
+// apply applies an accepted edit to s, which is a shallow copy of before. A
+// revision is the offset plus one, so 0 always means that a cell was never set.
 func (s *State) apply(before *State, offset int64, edit Edit) {
 	s.sheets = maps.Clone(before.sheets)
-	touched := map[string]bool{}
+	copied := map[string]bool{}
 	rows := map[string]map[string]bool{}
 	for _, change := range edit.Changes {
-		if !touched[change.Sheet] {
+		if !copied[change.Sheet] {
 			s.sheets[change.Sheet] = maps.Clone(before.sheets[change.Sheet])
-			touched[change.Sheet] = true
+			copied[change.Sheet] = true
 			rows[change.Sheet] = map[string]bool{}
 		}
 		if !rows[change.Sheet][change.Row] && !change.Remove {
@@ -316,23 +326,23 @@
 		}
 		s.sheets[change.Sheet][change.Row].set(change.Column, Cell{Value: change.Value, Revision: offset + 1})
 	}
-	s.remember(before, offset, edit)
-	s.retype(before, rows)
+	s.appendHistory(before, offset, edit)
+	s.rebuildTyped(before, rows)
 }
 
-func (s *State) remember(before *State, offset int64, edit Edit) {
+func (s *State) appendHistory(before *State, offset int64, edit Edit) {
 	entry := HistoryEntry{Offset: offset, ID: edit.ID, Operator: edit.Operator, Changes: edit.Changes}
 	for _, change := range edit.Changes {
-		entry.Before = append(entry.Before, before.current(change).Value)
+		entry.Before = append(entry.Before, before.currentCell(change).Value)
 		if change.Remove {
-			entry.keepRemoved(change.Address(), before.Row(change.Sheet, change.Row))
+			entry.addRemoved(change.Address(), before.Row(change.Sheet, change.Row))
 		}
 	}
 	start := max(0, len(before.history)-maxHistory+1)
 	s.history = append(slices.Clone(before.history[start:]), entry)
 }
 
-func (h *HistoryEntry) keepRemoved(address string, cells []Cell) {
+func (h *HistoryEntry) addRemoved(address string, cells []Cell) {
 	if h.Removed == nil {
 		h.Removed = map[string][]string{}
 	}
@@ -343,27 +353,28 @@
 	h.Removed[address] = values
 }
 
-// retype rebuilds the typed form of the touched rows.
-func (s *State) retype(before *State, rows map[string]map[string]bool) {
-	if names, touched := rows[Organisations]; touched {
+// rebuildTyped rebuilds the typed form of the given rows, grouped by sheet.
+func (s *State) rebuildTyped(before *State, rows map[string]map[string]bool) {
+	if names, changed := rows[Organisations]; changed {
 		s.typed.organisations = maps.Clone(before.typed.organisations)
 		s.typed.byKeyHash = maps.Clone(before.typed.byKeyHash)
-		s.retypeOrganisations(names)
+		s.rebuildOrganisations(names)
 	}
-	if names, touched := rows[Models]; touched {
-		s.typed.models = retyped(before.typed.models, names, s.sheets[Models], (*row).model)
+	if names, changed := rows[Models]; changed {
+		s.typed.models = rebuildRows(before.typed.models, names, s.sheets[Models], (*row).model)
 	}
-	if names, touched := rows[Services]; touched {
-		s.typed.services = retyped(before.typed.services, names, s.sheets[Services], (*row).service)
+	if names, changed := rows[Services]; changed {
+		s.typed.services = rebuildRows(before.typed.services, names, s.sheets[Services], (*row).service)
 	}
-	if _, touched := rows[Upstreams]; touched {
-		s.typed.upstreams = typedUpstreams(s.sheets[Upstreams])
+	if _, changed := rows[Upstreams]; changed {
+		s.typed.upstreams = buildUpstreams(s.sheets[Upstreams])
 	}
 }
 
-// retypeOrganisations first forgets all old keys: an edit may hand one on from
-// one organisation to another.
-func (s *State) retypeOrganisations(names map[string]bool) {
+// rebuildOrganisations rebuilds the given organisations. It first removes all
+// their old keys, because an edit may move a key from one organisation to
+// another.
+func (s *State) rebuildOrganisations(names map[string]bool) {
 	for name := range names {
 		if old := s.typed.organisations[name]; old != nil {
 			delete(s.typed.byKeyHash, old.KeyHash)
@@ -381,8 +392,8 @@
 	}
 }
 
-// retyped returns a copy of a typed sheet with the named rows built again.
-func retyped[T any](
+// rebuildRows returns a copy of a typed sheet in which the named rows are rebuilt.
+func rebuildRows[T any](
 	old map[string]*T, names map[string]bool, rows map[string]*row, build func(*row, string) *T,
 ) map[string]*T {
 	typed := maps.Clone(old)
@@ -395,7 +406,7 @@
 	return typed
 }
 
-func typedUpstreams(rows map[string]*row) []*Upstream {
+func buildUpstreams(rows map[string]*row) []*Upstream {
 	upstreams := make([]*Upstream, 0, len(rows))
 	for name, r := range rows {
 		upstreams = append(upstreams, r.upstream(name))
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -19,8 +19,9 @@
 
 func hash(digit string) string { return strings.Repeat(digit, 64) }
 
-// fold applies edits in order and returns the last state and verdict.
-func fold(t require.TestingT, state *table.State, edits ...table.Edit) (*table.State, table.Verdict) {
+// applyEdits applies edits in order and returns the final state and the last
+// verdict.
+func applyEdits(t require.TestingT, state *table.State, edits ...table.Edit) (*table.State, table.Verdict) {
 	verdict := table.Verdict{}
 	for _, edit := range edits {
 		data, err := json.Marshal(edit)
@@ -34,14 +35,15 @@
 	return table.Edit{ID: id, Operator: "test", Changes: changes}
 }
 
-// withChoir is a table with one organisation, at offset 1.
-func withChoir(t require.TestingT) *table.State {
-	state, verdict := fold(t, table.New(), edit("first", set("choir", "key_sha256", hash("a"), 0)))
+// newTableWithChoir returns a table with the single organisation "choir", at
+// offset 1.
+func newTableWithChoir(t require.TestingT) *table.State {
+	state, verdict := applyEdits(t, table.New(), edit("first", set("choir", "key_sha256", hash("a"), 0)))
 	require.Equal(t, table.Accepted, verdict.Result)
 	return state
 }
 
-func assertRefused(t *testing.T, verdict table.Verdict, result table.Result, address, reason string) {
+func assertRejected(t *testing.T, verdict table.Verdict, result table.Result, address, reason string) {
 	t.Helper()
 	assert.Equal(t, result, verdict.Result)
 	require.NotEmpty(t, verdict.Issues)
@@ -50,84 +52,85 @@
 }
 
 func TestFold(t *testing.T) {
-	t.Run("takes an edit and its typed form", func(t *testing.T) {
-		state, verdict := fold(t, withChoir(t), edit("e", set("choir", "weight", "7", 0)))
+	t.Run("accepts an edit and rebuilds the typed row", func(t *testing.T) {
+		state, verdict := applyEdits(t, newTableWithChoir(t), edit("e", set("choir", "weight", "7", 0)))
 		assert.Equal(t, table.Accepted, verdict.Result)
 		assert.Equal(t, 7, state.Organisation("choir").Weight)
 		assert.Equal(t, "choir", state.OrganisationByKeyHash(hash("a")).Name)
 	})
-	t.Run("lets one of two edits of a cell win and tells the other both values", func(t *testing.T) {
-		state, _ := fold(t, withChoir(t), edit("one", set("choir", "weight", "7", 0)))
-		state, verdict := fold(t, state, edit("two", set("choir", "weight", "8", 0)))
-		assertRefused(t, verdict, table.Conflict, "organisations/choir/weight", "changed since")
+	t.Run("accepts the first of two edits of a cell and returns both values to the second", func(t *testing.T) {
+		state, _ := applyEdits(t, newTableWithChoir(t), edit("one", set("choir", "weight", "7", 0)))
+		state, verdict := applyEdits(t, state, edit("two", set("choir", "weight", "8", 0)))
+		assertRejected(t, verdict, table.Conflict, "organisations/choir/weight", "changed since")
 		assert.Equal(t, "8", verdict.Issues[0].Wanted)
 		assert.Equal(t, "7", verdict.Issues[0].Current)
 		assert.Equal(t, 7, state.Organisation("choir").Weight)
 	})
-	t.Run("takes both of two edits of different cells", func(t *testing.T) {
-		state, verdict := fold(t, withChoir(t),
+	t.Run("accepts two edits of different cells", func(t *testing.T) {
+		state, verdict := applyEdits(t, newTableWithChoir(t),
 			edit("one", set("choir", "weight", "7", 0)), edit("two", set("choir", "priority", "3", 0)))
 		assert.Equal(t, table.Accepted, verdict.Result)
 		assert.Equal(t, 7, state.Organisation("choir").Weight)
 		assert.Equal(t, 3, state.Organisation("choir").Priority)
 	})
-	t.Run("takes several cells together or not at all", func(t *testing.T) {
-		state, _ := fold(t, withChoir(t), edit("one", set("choir", "weight", "7", 0)))
-		state, verdict := fold(t, state, edit("two", set("choir", "priority", "3", 0), set("choir", "weight", "8", 0)))
+	t.Run("applies the changes of an edit atomically", func(t *testing.T) {
+		state, _ := applyEdits(t, newTableWithChoir(t), edit("one", set("choir", "weight", "7", 0)))
+		state, verdict := applyEdits(t, state, edit("two", set("choir", "priority", "3", 0), set("choir", "weight", "8", 0)))
 		assert.Equal(t, table.Conflict, verdict.Result)
 		assert.Zero(t, state.Organisation("choir").Priority)
 	})
-	t.Run("takes a second copy for nothing", func(t *testing.T) {
+	t.Run("ignores a duplicate edit", func(t *testing.T) {
 		one := edit("one", set("choir", "weight", "7", 0))
-		state, verdict := fold(t, withChoir(t), one, one)
+		state, verdict := applyEdits(t, newTableWithChoir(t), one, one)
 		assert.Empty(t, verdict.ID)
 		known, found := state.Verdict("one")
 		assert.True(t, found)
 		assert.Equal(t, table.Accepted, known.Result)
 	})
-	t.Run("names row, column and reason of a value it refuses", func(t *testing.T) {
-		_, verdict := fold(t, withChoir(t), edit("e", set("choir", "weight", "many", 0)))
-		assertRefused(t, verdict, table.Invalid, "organisations/choir/weight", `"many" is not a whole number`)
+	t.Run("reports row, column and reason of an invalid value", func(t *testing.T) {
+		_, verdict := applyEdits(t, newTableWithChoir(t), edit("e", set("choir", "weight", "many", 0)))
+		assertRejected(t, verdict, table.Invalid, "organisations/choir/weight", `"many" is not a whole number`)
 	})
-	t.Run("refuses a row without what it needs", func(t *testing.T) {
-		_, verdict := fold(t, table.New(), edit("e", set("band", "weight", "1", 0)))
-		assertRefused(t, verdict, table.Invalid, "organisations/band/key_sha256", "required")
+	t.Run("rejects a row that lacks a required cell", func(t *testing.T) {
+		_, verdict := applyEdits(t, table.New(), edit("e", set("band", "weight", "1", 0)))
+		assertRejected(t, verdict, table.Invalid, "organisations/band/key_sha256", "required")
 	})
-	t.Run("refuses a key that another organisation has", func(t *testing.T) {
-		_, verdict := fold(t, withChoir(t), edit("e", set("band", "key_sha256", hash("a"), 0)))
-		assertRefused(t, verdict, table.Invalid, "organisations/band/key_sha256", "another organisation")
+	t.Run("rejects a key of another organisation", func(t *testing.T) {
+		_, verdict := applyEdits(t, newTableWithChoir(t), edit("e", set("band", "key_sha256", hash("a"), 0)))
+		assertRejected(t, verdict, table.Invalid, "organisations/band/key_sha256", "another organisation")
 	})
-	t.Run("refuses one key for two organisations of one edit", func(t *testing.T) {
-		_, verdict := fold(t, table.New(), edit("e",
+	t.Run("rejects an edit that assigns one key to two organisations", func(t *testing.T) {
+		_, verdict := applyEdits(t, table.New(), edit("e",
 			set("choir", "key_sha256", hash("a"), 0), set("band", "key_sha256", hash("a"), 0)))
-		assertRefused(t, verdict, table.Invalid, "organisations/choir/key_sha256", "another organisation")
+		assertRejected(t, verdict, table.Invalid, "organisations/choir/key_sha256", "another organisation")
 	})
-	t.Run("lets two organisations swap their keys", func(t *testing.T) {
-		state, _ := fold(t, withChoir(t), edit("b", set("band", "key_sha256", hash("b"), 0)))
-		state, verdict := fold(t, state, edit("e",
+	t.Run("accepts an edit that swaps the keys of two organisations", func(t *testing.T) {
+		state, _ := applyEdits(t, newTableWithChoir(t), edit("b", set("band", "key_sha256", hash("b"), 0)))
+		state, verdict := applyEdits(t, state, edit("e",
 			set("choir", "key_sha256", hash("b"), 1), set("band", "key_sha256", hash("a"), 2)))
 		assert.Equal(t, table.Accepted, verdict.Result)
 		assert.Equal(t, "band", state.OrganisationByKeyHash(hash("a")).Name)
 		assert.Equal(t, "choir", state.OrganisationByKeyHash(hash("b")).Name)
 	})
-	t.Run("removes a row only as it was seen", func(t *testing.T) {
+	t.Run("removes a row only if it is unchanged since it was read", func(t *testing.T) {
 		remove := table.Change{Sheet: table.Organisations, Row: "choir", Remove: true, BasedOn: 1}
-		changed, _ := fold(t, withChoir(t), edit("w", set("choir", "weight", "7", 0)))
-		_, verdict := fold(t, changed, edit("r", remove))
+		changed, _ := applyEdits(t, newTableWithChoir(t), edit("w", set("choir", "weight", "7", 0)))
+		_, verdict := applyEdits(t, changed, edit("r", remove))
 		assert.Equal(t, table.Conflict, verdict.Result)
-		state, verdict := fold(t, withChoir(t), edit("r", remove))
+		state, verdict := applyEdits(t, newTableWithChoir(t), edit("r", remove))
 		assert.Equal(t, table.Accepted, verdict.Result)
 		assert.Nil(t, state.Organisation("choir"))
 		assert.Nil(t, state.OrganisationByKeyHash(hash("a")))
 	})
-	t.Run("skips what is no edit", func(t *testing.T) {
-		state, verdict := withChoir(t).Apply(1, []byte(`{"id":""}`))
+	t.Run("skips a malformed record", func(t *testing.T) {
+		state, verdict := newTableWithChoir(t).Apply(1, []byte(`{"id":""}`))
 		assert.Empty(t, verdict.ID)
 		assert.EqualValues(t, 2, state.Offset())
 	})
 }
 
-// drawEdit draws an edit of a few cells, often with outdated revisions.
+// drawEdit draws an edit with a few changes, some of them based on an outdated
+// revision.
 func drawEdit(t *rapid.T, state *table.State, number int) table.Edit {
 	drawn := table.Edit{ID: fmt.Sprint("e", rapid.IntRange(max(0, number-3), number).Draw(t, "id")), Operator: "o"}
 	for range rapid.IntRange(1, 3).Draw(t, "changes") {
@@ -147,38 +150,38 @@
 }
 
 // TestFoldOfRandomHistories checks that every box reaches the same state and
-// verdicts, whether it folds the whole log or starts from a state in between,
-// and that a refused edit changes nothing.
+// verdicts, whether it applies the complete log or starts from an encoded state
+// in the middle, and that an edit that is not accepted changes no cell.
 func TestFoldOfRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole, late := table.New(), table.New()
+		full, restored := table.New(), table.New()
 		start := rapid.IntRange(0, 20).Draw(t, "start")
 		for number := range 25 {
 			if number == start {
-				encoded, err := whole.Encode()
+				encoded, err := full.Encode()
 				require.NoError(t, err)
-				late, err = table.Decode(encoded)
+				restored, err = table.Decode(encoded)
 				require.NoError(t, err)
 			}
-			drawn := drawEdit(t, whole, number)
-			before, err := whole.Encode()
+			drawn := drawEdit(t, full, number)
+			before, err := full.Encode()
 			require.NoError(t, err)
 			var verdict table.Verdict
-			whole, verdict = fold(t, whole, drawn)
+			full, verdict = applyEdits(t, full, drawn)
 			if verdict.Result != table.Accepted {
-				requireSameCells(t, before, whole)
+				requireSameCells(t, before, full)
 			}
 			if number >= start {
-				var other table.Verdict
-				late, other = fold(t, late, drawn)
-				require.Equal(t, verdict, other)
+				var restoredVerdict table.Verdict
+				restored, restoredVerdict = applyEdits(t, restored, drawn)
+				require.Equal(t, verdict, restoredVerdict)
 			}
 		}
-		one, err := whole.Encode()
+		fullEncoded, err := full.Encode()
 		require.NoError(t, err)
-		two, err := late.Encode()
+		restoredEncoded, err := restored.Encode()
 		require.NoError(t, err)
-		require.Equal(t, string(one), string(two))
+		require.Equal(t, string(fullEncoded), string(restoredEncoded))
 	})
 }
 
@@ -192,8 +195,8 @@
 }
 
 func TestDecode(t *testing.T) {
-	t.Run("refuses a column that this version does not know", func(t *testing.T) {
-		encoded, err := withChoir(t).Encode()
+	t.Run("rejects a column that this version does not know", func(t *testing.T) {
+		encoded, err := newTableWithChoir(t).Encode()
 		require.NoError(t, err)
 		changed := strings.Replace(string(encoded), `"rate_per_s"`, `"rate_per_h"`, 1)
 		_, err = table.Decode([]byte(changed))
@@ -207,13 +210,13 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		state, _ := table.New().Apply(0, data)
 		if state.Offset() != 1 {
-			t.Fatal("a record must move the offset by one")
+			t.Fatal("a record must advance the offset by one")
 		}
 	})
 }
 
 func FuzzDecode(f *testing.F) {
-	encoded, err := withChoir(f).Encode()
+	encoded, err := newTableWithChoir(f).Encode()
 	require.NoError(f, err)
 	f.Add(encoded)
 	f.Fuzz(func(t *testing.T, data []byte) {
