--- a/internal/tablefile/diff.go
+++ b/internal/tablefile/diff.go
@@ -8,17 +8,17 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// Current is the table and its history, to which a file is compared.
+// Current is the current table with its history, to which a file is compared.
 type Current struct {
 	Table   operators.TableReply
 	History []table.HistoryEntry
 }
 
-// Changes returns the changes that turn the current table into the file's. A
-// cell that others changed since the file was written, and that the file leaves
-// as it was then, is left alone; one that both changed becomes a change based on
-// the file's time, which the table answers with a conflict and both values. Rows
-// that the file lacks are removed only when prune is set.
+// Changes returns the changes that turn the current table into that of the file.
+// It skips a cell that others changed since the export if the file still has the
+// exported value. If both sides changed a cell, it returns a change that the table
+// rejects as a conflict, reporting both values. Rows that are missing in the file
+// are removed only if prune is set.
 func Changes(file File, current Current, prune bool) []table.Change {
 	changes := []table.Change{}
 	for _, sheet := range current.Table.Sheets {
@@ -45,13 +45,13 @@
 	changes := []table.Change{}
 	for _, row := range slices.Sorted(maps.Keys(wanted)) {
 		for _, column := range sheet.Columns {
-			value, named := wanted[row][column]
+			value, present := wanted[row][column]
 			cell := cells[row][column]
-			if !named || value == cell.Value {
+			if !present || value == cell.Value {
 				continue
 			}
 			change := table.Change{Sheet: sheet.Name, Row: row, Column: column, Value: value, BasedOn: cell.Revision}
-			if !basedOnFile(&change, file.Offset, cell, history) {
+			if !rebase(&change, file.Offset, cell, history) {
 				continue
 			}
 			changes = append(changes, change)
@@ -60,9 +60,10 @@
 	return changes
 }
 
-// basedOnFile sets the revision that the file's writer saw. It returns false for
-// a cell that the writer left as it was.
-func basedOnFile(change *table.Change, offset int64, cell table.Cell, history []table.HistoryEntry) bool {
+// rebase adjusts the base revision of a change to the state that was exported at
+// the given offset. It reports whether the change is needed: it is not if the
+// cell changed since then and the file still has the exported value.
+func rebase(change *table.Change, offset int64, cell table.Cell, history []table.HistoryEntry) bool {
 	if offset == 0 || cell.Revision <= offset {
 		return true
 	}
@@ -73,10 +74,11 @@
 	return true
 }
 
-// unknownRevision is one that no cell has, so that the table finds a conflict.
+// unknownRevision is a revision that no cell has. The table rejects a change that
+// is based on it as a conflict.
 const unknownRevision = -1
 
-// valueAt returns what a cell held when the table had reached an offset.
+// valueAt returns the value of a cell when the table was at an offset.
 func valueAt(address string, offset int64, history []table.HistoryEntry) string {
 	for _, entry := range history {
 		if entry.Offset < offset {
--- a/internal/tablefile/tablefile.go
+++ b/internal/tablefile/tablefile.go
@@ -1,5 +1,6 @@
-// Package tablefile turns the table into files that a spreadsheet or an editor
-// opens, and files back into edits: YAML for the whole table, CSV for one sheet.
+// Package tablefile exports the table to files for editors and spreadsheets, and
+// converts such files back into edits: YAML for the complete table, CSV for one
+// sheet.
 package tablefile
 
 import (
@@ -18,21 +19,22 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// ErrMalformed means that a file can't be used; the text names line and column.
+// ErrMalformed is returned for a file that cannot be used. The message names the
+// position of the fault.
 var ErrMalformed = errors.New("malformed table file")
 
 // File is the content of a table file.
 type File struct {
-	// Offset is the table's offset when the file was written, or 0.
+	// Offset is the offset of the table at the export, or 0 if it is unknown.
 	Offset int64
-	// Sheets are rows by sheet; a CSV file has one.
+	// Sheets maps sheet names to rows. A CSV file has a single sheet.
 	Sheets map[string]Rows
 }
 
-// Rows are the cells by row and column.
+// Rows maps row names to the values of cells by column.
 type Rows map[string]map[string]string
 
-// FromTable returns the table as a file.
+// FromTable returns a file with all non-empty cells of the table.
 func FromTable(reply operators.TableReply) File {
 	file := File{Offset: reply.Offset, Sheets: map[string]Rows{}}
 	for _, sheet := range reply.Sheets {
@@ -50,13 +52,13 @@
 	return file
 }
 
-// yamlFile is the form of a YAML table file.
+// yamlFile is the structure of a YAML table file.
 type yamlFile struct {
 	Offset int64           `yaml:"offset"`
 	Sheets map[string]Rows `yaml:",inline"`
 }
 
-// EncodeYAML returns the whole file as YAML, rows in the order of their names.
+// EncodeYAML returns the complete file as YAML with rows sorted by name.
 func (f File) EncodeYAML() ([]byte, error) {
 	data, err := yaml.Marshal(yamlFile(f))
 	if err != nil {
@@ -65,8 +67,8 @@
 	return data, nil
 }
 
-// DecodeYAML reads a YAML table file. Every sheet, row, column and value is
-// checked; the error joins all that is wrong.
+// DecodeYAML decodes a YAML table file. It validates every sheet, row, column and
+// value, and the error joins all problems.
 func DecodeYAML(name string, data []byte) (File, error) {
 	var decoded yamlFile
 	if err := yaml.Unmarshal(data, &decoded); err != nil {
@@ -77,15 +79,15 @@
 		return File{}, fmt.Errorf("%w: %s: %w", ErrMalformed, name, err)
 	}
 	problems := []error{}
-	for _, place := range cellNodes(&document) {
-		if err := table.CheckCell(place.sheet, place.row, place.column, place.value); err != nil {
-			problems = append(problems, fmt.Errorf("%w: %s:%d: %w", ErrMalformed, name, place.line, err))
+	for _, cell := range cellNodes(&document) {
+		if err := table.CheckCell(cell.sheet, cell.row, cell.column, cell.value); err != nil {
+			problems = append(problems, fmt.Errorf("%w: %s:%d: %w", ErrMalformed, name, cell.line, err))
 		}
 	}
 	return File(decoded), errors.Join(problems...)
 }
 
-// cellNode is one cell and the line where it stands.
+// cellNode is one cell with its line number.
 type cellNode struct {
 	sheet, row, column, value string
 	line                      int
@@ -109,7 +111,7 @@
 	return cells
 }
 
-// pairs yields the keys and values of a mapping.
+// pairs yields the keys and values of a mapping node. Other nodes yield nothing.
 func pairs(node *yaml.Node) func(yield func(key, value *yaml.Node) bool) {
 	return func(yield func(key, value *yaml.Node) bool) {
 		if node.Kind != yaml.MappingNode {
@@ -123,7 +125,8 @@
 	}
 }
 
-// The CSV form has the row's name first and the offset of the export last.
+// Names of the first and the last CSV column: the row's name and the offset of the
+// export.
 const (
 	rowColumn    = "row"
 	offsetColumn = "offset"
@@ -137,7 +140,7 @@
 	}
 	var buffer bytes.Buffer
 	w := csv.NewWriter(&buffer)
-	// Writes to a buffer never fail.
+	// Writing to a buffer cannot fail.
 	_ = w.Write(slices.Concat([]string{rowColumn}, columns, []string{offsetColumn}))
 	for _, row := range slices.Sorted(maps.Keys(f.Sheets[sheet])) {
 		record := []string{row}
@@ -150,7 +153,8 @@
 	return buffer.Bytes(), nil
 }
 
-// DecodeCSV reads one sheet from CSV. The offset column may be missing.
+// DecodeCSV decodes one sheet from CSV. The offset column is optional. Errors in
+// records are joined.
 func DecodeCSV(name, sheet string, data []byte) (File, error) {
 	r := csv.NewReader(bytes.NewReader(data))
 	header, err := r.Read()
@@ -179,8 +183,8 @@
 
 func (f *File) addRecord(sheet string, header, record []string) error {
 	row := record[0]
-	if _, twice := f.Sheets[sheet][row]; twice {
-		return fmt.Errorf("row %q: stands twice", row)
+	if _, duplicate := f.Sheets[sheet][row]; duplicate {
+		return fmt.Errorf("row %q: duplicate", row)
 	}
 	cells := map[string]string{}
 	for i := 1; i < len(header); i++ {
--- a/internal/tablefile/tablefile_test.go
+++ b/internal/tablefile/tablefile_test.go
@@ -13,8 +13,9 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// edited folds edits, each a list of changes, and returns what operators see.
-func edited(t *testing.T, edits ...[]table.Change) (*table.State, Current) {
+// applyEdits applies edits, each a list of changes, to an empty table. It returns
+// the state and the reply that operators get.
+func applyEdits(t *testing.T, edits ...[]table.Change) (*table.State, Current) {
 	t.Helper()
 	state := table.New()
 	for i, changes := range edits {
@@ -31,35 +32,35 @@
 	return table.Change{Sheet: table.Models, Row: row, Column: column, Value: value, BasedOn: basedOn}
 }
 
-func first() []table.Change {
+func firstEdit() []table.Change {
 	return []table.Change{change("m", "deadline_ms", "100", 0), change("n", "deadline_ms", "200", 0)}
 }
 
 func TestRoundTrip(t *testing.T) {
-	_, current := edited(t, first())
+	_, current := applyEdits(t, firstEdit())
 	file := FromTable(current.Table)
-	t.Run("through YAML changes nothing", func(t *testing.T) {
+	t.Run("through YAML yields no changes", func(t *testing.T) {
 		data, err := file.EncodeYAML()
 		require.NoError(t, err)
 		decoded, err := DecodeYAML("f", data)
 		require.NoError(t, err)
 		assert.Empty(t, Changes(decoded, current, true))
 	})
-	t.Run("through CSV changes nothing", func(t *testing.T) {
+	t.Run("through CSV yields no changes", func(t *testing.T) {
 		data, err := file.EncodeCSV(table.Models)
 		require.NoError(t, err)
 		decoded, err := DecodeCSV("f", table.Models, data)
 		require.NoError(t, err)
 		assert.Empty(t, Changes(decoded, current, true))
 	})
-	t.Run("through a spreadsheet becomes the cells that were edited", func(t *testing.T) {
+	t.Run("of an edited CSV file yields the edited cells", func(t *testing.T) {
 		data, err := file.EncodeCSV(table.Models)
 		require.NoError(t, err)
 		decoded, err := DecodeCSV("f", table.Models, []byte(strings.Replace(string(data), "n,200", "n,300", 1)))
 		require.NoError(t, err)
 		assert.Equal(t, []table.Change{change("n", "deadline_ms", "300", 1)}, Changes(decoded, current, true))
 	})
-	t.Run("of the example table holds", func(t *testing.T) {
+	t.Run("decodes the example table", func(t *testing.T) {
 		data, err := os.ReadFile("../../examples/three-boxes/table.yaml")
 		require.NoError(t, err)
 		decoded, err := DecodeYAML("table.yaml", data)
@@ -69,25 +70,25 @@
 }
 
 func TestImportAfterOthersEdited(t *testing.T) {
-	_, old := edited(t, first())
+	_, old := applyEdits(t, firstEdit())
 	file := FromTable(old.Table)
-	_, now := edited(t, first(), []table.Change{change("m", "deadline_ms", "150", 1)})
-	t.Run("leaves their cells alone", func(t *testing.T) {
+	_, now := applyEdits(t, firstEdit(), []table.Change{change("m", "deadline_ms", "150", 1)})
+	t.Run("skips cells that only they changed", func(t *testing.T) {
 		assert.Empty(t, Changes(file, now, false))
 	})
-	t.Run("conflicts where both edited", func(t *testing.T) {
+	t.Run("conflicts on cells that both changed", func(t *testing.T) {
 		file := FromTable(old.Table)
 		file.Sheets[table.Models]["m"]["deadline_ms"] = "111"
 		changes := Changes(file, now, false)
 		require.Len(t, changes, 1)
-		state, _ := edited(t, first(), []table.Change{change("m", "deadline_ms", "150", 1)})
+		state, _ := applyEdits(t, firstEdit(), []table.Change{change("m", "deadline_ms", "150", 1)})
 		data, err := json.Marshal(table.Edit{ID: "z", Changes: changes})
 		require.NoError(t, err)
 		_, verdict := state.Apply(state.Offset(), data)
 		assert.Equal(t, table.Conflict, verdict.Result)
 		assert.Equal(t, "150", verdict.Issues[0].Current)
 	})
-	t.Run("removes rows only when asked", func(t *testing.T) {
+	t.Run("removes rows only if prune is set", func(t *testing.T) {
 		file := FromTable(old.Table)
 		delete(file.Sheets[table.Models], "n")
 		assert.Empty(t, Changes(file, old, false))
@@ -100,20 +101,20 @@
 func TestUndo(t *testing.T) {
 	undo := func(t *testing.T, edits ...[]table.Change) *table.State {
 		t.Helper()
-		state, current := edited(t, edits...)
+		state, current := applyEdits(t, edits...)
 		changes := Undo(state.History()[len(state.History())-1], current.Table)
-		state, _ = edited(t, append(edits, changes)...)
+		state, _ = applyEdits(t, append(edits, changes)...)
 		return state
 	}
-	t.Run("sets cells as they were", func(t *testing.T) {
-		state := undo(t, first(), []table.Change{change("m", "deadline_ms", "150", 1)})
+	t.Run("restores the previous values of cells", func(t *testing.T) {
+		state := undo(t, firstEdit(), []table.Change{change("m", "deadline_ms", "150", 1)})
 		assert.EqualValues(t, 100, state.Model("m").DeadlineMs)
 	})
-	t.Run("removes rows that the edit made", func(t *testing.T) {
-		assert.Nil(t, undo(t, first()).Model("m"))
+	t.Run("removes rows that the edit created", func(t *testing.T) {
+		assert.Nil(t, undo(t, firstEdit()).Model("m"))
 	})
 	t.Run("restores rows that the edit removed", func(t *testing.T) {
-		state := undo(t, first(), []table.Change{{Sheet: table.Models, Row: "m", Remove: true, BasedOn: 1}})
+		state := undo(t, firstEdit(), []table.Change{{Sheet: table.Models, Row: "m", Remove: true, BasedOn: 1}})
 		assert.EqualValues(t, 100, state.Model("m").DeadlineMs)
 	})
 }
@@ -127,7 +128,7 @@
 	t.Run("in CSV", func(t *testing.T) {
 		_, err := DecodeCSV("f.csv", table.Models, []byte("row,deadline_ms\nm,1\nm,2\n"))
 		require.ErrorIs(t, err, ErrMalformed)
-		assert.Contains(t, err.Error(), "f.csv:3: row \"m\": stands twice")
+		assert.Contains(t, err.Error(), "f.csv:3: row \"m\": duplicate")
 	})
 	t.Run("of an unknown sheet", func(t *testing.T) {
 		_, err := DecodeYAML("f.yaml", []byte("modles:\n  m:\n    deadline_ms: 1\n"))
--- a/internal/tablefile/undo.go
+++ b/internal/tablefile/undo.go
@@ -5,9 +5,9 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// Undo returns the changes that take back an accepted edit. They conflict where
-// a cell was changed again since. A row that the edit made is removed, one that
-// it removed is set again.
+// Undo returns the changes that revert an accepted edit. They conflict on cells
+// that were changed again since. A row that the edit created is removed, and a
+// row that it removed is restored.
 func Undo(entry table.HistoryEntry, current operators.TableReply) []table.Change {
 	changes := []table.Change{}
 	removed := map[string]bool{}
@@ -15,9 +15,9 @@
 		row := change.Sheet + "/" + change.Row
 		switch {
 		case change.Remove:
-			changes = append(changes, restored(change, entry.Removed[row])...)
+			changes = append(changes, restoreRow(change, entry.Removed[row])...)
 		case removed[row]:
-		case wasEmpty(entry, row) && madeBy(entry, change, current):
+		case wasEmpty(entry, row) && createdBy(entry, change, current):
 			removed[row] = true
 			changes = append(changes, table.Change{
 				Sheet: change.Sheet, Row: change.Row, Remove: true, BasedOn: entry.Offset + 1,
@@ -32,7 +32,7 @@
 	return changes
 }
 
-func restored(change table.Change, values []string) []table.Change {
+func restoreRow(change table.Change, values []string) []table.Change {
 	changes := []table.Change{}
 	for i, column := range table.Columns(change.Sheet) {
 		if i < len(values) && values[i] != "" {
@@ -44,7 +44,8 @@
 	return changes
 }
 
-// wasEmpty reports whether the edit's cells of a row held nothing before.
+// wasEmpty reports whether all cells of a row that the edit changed were empty
+// before it.
 func wasEmpty(entry table.HistoryEntry, row string) bool {
 	for i, change := range entry.Changes {
 		if change.Sheet+"/"+change.Row == row && entry.Before[i] != "" {
@@ -54,22 +55,22 @@
 	return true
 }
 
-// madeBy reports whether all that the row holds now came with the edit.
-func madeBy(entry table.HistoryEntry, change table.Change, current operators.TableReply) bool {
+// createdBy reports whether the edit set every non-empty cell of the current row.
+func createdBy(entry table.HistoryEntry, change table.Change, current operators.TableReply) bool {
 	for _, sheet := range current.Sheets {
 		if sheet.Name != change.Sheet {
 			continue
 		}
 		for _, row := range sheet.Rows {
 			if row.Name == change.Row {
-				return allFrom(row.Cells, entry.Offset+1)
+				return allSetAt(row.Cells, entry.Offset+1)
 			}
 		}
 	}
 	return false
 }
 
-func allFrom(cells []table.Cell, revision int64) bool {
+func allSetAt(cells []table.Cell, revision int64) bool {
 	for _, cell := range cells {
 		if cell.Revision != 0 && cell.Revision != revision {
 			return false
