--- a/internal/tablestore/store.go
+++ b/internal/tablestore/store.go
@@ -1,5 +1,6 @@
-// Package tablestore keeps the table in force on a box: it follows the table's
-// stream, folds it, never goes back, and appends operators' edits.
+// Package tablestore holds the current table of a box. It applies the records of
+// the table's log stream, never returns to an older state, and appends the edits
+// of operators to the stream.
 package tablestore
 
 import (
@@ -20,22 +21,22 @@
 // Stream is the name of the table's log stream.
 const Stream = "table"
 
-// tailRecords is how many records are kept for peers.
+// tailRecords is the number of newest records kept for peers.
 const tailRecords = 4096
 
-// Errors of an edit.
+// Errors returned by Submit.
 var (
-	// ErrVerdictUnknown means that the edit may still take hold: ask again
-	// under the same id.
+	// ErrVerdictUnknown means that the edit may still be applied. It is safe to
+	// submit it again under the same ID.
 	ErrVerdictUnknown = errors.New("verdict unknown")
-	// ErrNotAppended means that the log refused the edit: it never takes hold.
+	// ErrNotAppended means that the log rejected the edit. It will never be applied.
 	ErrNotAppended = errors.New("edit not appended")
 )
 
-// Append adds a record to the table's stream.
+// Append appends records to a log stream.
 type Append func(ctx context.Context, stream string, records ...json.RawMessage) (int64, error)
 
-// Store is the table on one box. It is safe for concurrent use.
+// Store holds the table of one box. It is safe for concurrent use.
 type Store struct {
 	clock  clock.Clock
 	logger *zap.Logger
@@ -46,7 +47,7 @@
 	state     *table.State
 	changed   chan struct{}
 	listeners []func(*table.State)
-	verdicts  func(table.Verdict)
+	onVerdict func(table.Verdict)
 	changedMs clock.Millis
 }
 
@@ -59,14 +60,15 @@
 // WithLogger sets the logger.
 func WithLogger(logger *zap.Logger) Option { return func(s *Store) { s.logger = logger } }
 
-// WithVerdicts has a function see each verdict as it is folded.
-func WithVerdicts(see func(table.Verdict)) Option { return func(s *Store) { s.verdicts = see } }
+// WithVerdicts sets a function f that is called with the verdict on each applied
+// edit.
+func WithVerdicts(f func(table.Verdict)) Option { return func(s *Store) { s.onVerdict = f } }
 
 // New returns a store with an empty table.
 func New(appendRecords Append, options ...Option) *Store {
 	s := &Store{
 		clock: clock.New(), logger: zap.NewNop(), append: appendRecords, tail: logstream.NewTail(tailRecords),
-		state: table.New(), changed: make(chan struct{}), verdicts: func(table.Verdict) {},
+		state: table.New(), changed: make(chan struct{}), onVerdict: func(table.Verdict) {},
 	}
 	for _, option := range options {
 		option(s)
@@ -74,25 +76,26 @@
 	return s
 }
 
-// OnChange has a function called with each newer table, in order. Call it before
-// the first record.
+// OnChange registers a listener that is called with each newer table, in order.
+// It must be called before the first record is applied.
 func (s *Store) OnChange(listener func(*table.State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listeners = append(s.listeners, listener)
 }
 
-// State returns the table in force.
+// State returns the current table.
 func (s *Store) State() *table.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state
 }
 
-// Tail returns the newest records, for peers.
+// Tail returns the newest records, which peers read.
 func (s *Store) Tail() *logstream.Tail { return s.tail }
 
-// Record folds one record of the stream. A record that is already in is ignored.
+// Record applies one record of the stream. It ignores a record that is not at the
+// next offset, such as one that was already applied.
 func (s *Store) Record(record backing.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,9 +106,9 @@
 	s.tail.Add(record)
 	if verdict.ID != "" {
 		s.logVerdict(verdict)
-		s.verdicts(verdict)
+		s.onVerdict(verdict)
 	}
-	s.enforce(next)
+	s.publish(next)
 }
 
 func (s *Store) logVerdict(verdict table.Verdict) {
@@ -113,19 +116,19 @@
 		zap.String("result", string(verdict.Result)))
 }
 
-// Adopt takes a whole state, from a snapshot or a peer, when it is newer than
-// the one in force. It returns the offset to go on from.
+// Adopt replaces the table with a complete state from a snapshot or a peer if that
+// state is newer. It returns the offset from which to continue.
 func (s *Store) Adopt(state *table.State) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state.Offset() > s.state.Offset() {
 		s.tail.Reset(state.Offset())
-		s.enforce(state)
+		s.publish(state)
 	}
 	return s.state.Offset()
 }
 
-func (s *Store) enforce(state *table.State) {
+func (s *Store) publish(state *table.State) {
 	s.state = state
 	s.changedMs = s.clock.Now()
 	for _, listener := range s.listeners {
@@ -135,35 +138,39 @@
 	s.changed = make(chan struct{})
 }
 
-// ChangedMs returns the instant at which the table in force was taken.
+// ChangedMs returns the time at which the current table became current.
 func (s *Store) ChangedMs() clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changedMs
 }
 
-// Submit appends an edit and waits until its verdict is folded. A reply lost by
-// the platform is made good by appending again: the second copy folds to
-// nothing. ErrVerdictUnknown leaves open what becomes of the edit.
+// Submit appends an edit and waits until it is applied and its verdict is known.
+// If the reply of the platform is lost, Submit appends the edit again, which is
+// safe because duplicates are ignored. After ErrVerdictUnknown, the outcome of the
+// edit is not known.
 func (s *Store) Submit(ctx context.Context, edit table.Edit) (table.Verdict, error) {
 	data, err := json.Marshal(edit)
 	if err != nil {
 		return table.Verdict{}, fmt.Errorf("encode edit: %w", err)
 	}
-	if err := s.appendUntilTaken(ctx, edit.ID, data); err != nil {
+	if err := s.appendWithRetry(ctx, edit.ID, data); err != nil {
 		return table.Verdict{}, err
 	}
-	return s.await(ctx, edit.ID)
+	return s.awaitVerdict(ctx, edit.ID)
 }
 
+// Bounds of the exponential backoff between appends.
 const (
-	firstAppendDelayMs clock.Millis = 100
-	lastAppendDelayMs  clock.Millis = 1000
+	minAppendDelayMs clock.Millis = 100
+	maxAppendDelayMs clock.Millis = 1000
 )
 
-// appendUntilTaken repeats the append until one is taken or the verdict came in.
-func (s *Store) appendUntilTaken(ctx context.Context, id string, data json.RawMessage) error {
-	delayMs := firstAppendDelayMs
+// appendWithRetry retries the append until one succeeds or the verdict on the edit
+// is known. A rejection is final unless it is due to throttling or an earlier
+// append may have succeeded.
+func (s *Store) appendWithRetry(ctx context.Context, id string, data json.RawMessage) error {
+	delayMs := minAppendDelayMs
 	inDoubt := false
 	for {
 		_, err := s.append(ctx, Stream, data)
@@ -178,20 +185,20 @@
 			return nil
 		}
 		if s.clock.Sleep(ctx, delayMs) != nil {
-			return s.unfinished(inDoubt, err)
+			return s.appendError(inDoubt, err)
 		}
-		delayMs = min(2*delayMs, lastAppendDelayMs)
+		delayMs = min(2*delayMs, maxAppendDelayMs)
 	}
 }
 
-func (s *Store) unfinished(inDoubt bool, cause error) error {
+func (s *Store) appendError(inDoubt bool, cause error) error {
 	if inDoubt {
 		return fmt.Errorf("%w: %w", ErrVerdictUnknown, cause)
 	}
 	return fmt.Errorf("%w: %w", ErrNotAppended, cause)
 }
 
-func (s *Store) await(ctx context.Context, id string) (table.Verdict, error) {
+func (s *Store) awaitVerdict(ctx context.Context, id string) (table.Verdict, error) {
 	for {
 		s.mu.Lock()
 		state, changed := s.state, s.changed
@@ -207,7 +214,7 @@
 	}
 }
 
-// WaitFor waits until the table in force has reached an offset.
+// WaitFor waits until the current table has reached an offset.
 func (s *Store) WaitFor(ctx context.Context, offset int64) error {
 	for {
 		s.mu.Lock()
