--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot turns a table into chunks for the platform's log and back.
-// The fold is deterministic, so that two boxes make the same chunks of the same
-// offset; a differing hash is an alarm.
+// Package snapshot splits a table into chunks for the platform's log and assembles
+// them again. Applying edits is deterministic, so two boxes create the same chunks
+// for the same offset. Different hashes mean that their tables diverged.
 package snapshot
 
 import (
@@ -17,16 +17,17 @@
 
 // Sentinel errors of snapshots.
 var (
-	// ErrMalformed means that a chunk or a whole snapshot can't be used.
+	// ErrMalformed is returned for a chunk or snapshot that is invalid.
 	ErrMalformed = errors.New("malformed snapshot")
-	// ErrDiffers means that two boxes made different snapshots of one offset.
-	ErrDiffers = errors.New("snapshots of one offset differ")
+	// ErrDiffers means that two boxes created different snapshots of the same
+	// offset.
+	ErrDiffers = errors.New("snapshots of the same offset differ")
 )
 
-// Stream is the name of the snapshots' log stream.
+// Stream is the name of the log stream that holds the snapshots.
 const Stream = "table-snapshots"
 
-// Bounds of a snapshot.
+// Limits of a snapshot.
 const (
 	chunkBytes    = 256 << 10
 	maxChunks     = 1024
@@ -35,17 +36,17 @@
 
 // Chunk is one log record of a snapshot.
 type Chunk struct {
-	// Offset is the table's offset.
+	// Offset is the offset of the table.
 	Offset int64 `json:"offset"`
-	// Hash is the SHA-256 of the table's encoding, in hex digits.
+	// Hash is the SHA-256 of the encoded table in hex digits.
 	Hash  string `json:"hash"`
 	Index int    `json:"index"`
 	Count int    `json:"count"`
-	// Data is a part of the compressed encoding.
+	// Data is one part of the compressed encoded table.
 	Data []byte `json:"data"`
 }
 
-// UnmarshalJSON decodes and checks a chunk.
+// UnmarshalJSON decodes and validates a chunk.
 func (c *Chunk) UnmarshalJSON(data []byte) error {
 	type wire Chunk
 	decoded, err := codec.Decode[wire](data, ErrMalformed)
@@ -54,15 +55,15 @@
 	}
 	*c = Chunk(decoded)
 	if c.Offset < 0 || c.Count < 1 || c.Count > maxChunks || c.Index < 0 || c.Index >= c.Count {
-		return fmt.Errorf("%w: chunk %d of %d", ErrMalformed, c.Index, c.Count)
+		return fmt.Errorf("%w: invalid offset or index: chunk %d of %d", ErrMalformed, c.Index, c.Count)
 	}
 	if len(c.Hash) != hex.EncodedLen(sha256.Size) || len(c.Data) > chunkBytes {
-		return fmt.Errorf("%w: hash or data", ErrMalformed)
+		return fmt.Errorf("%w: invalid hash or size of data", ErrMalformed)
 	}
 	return nil
 }
 
-// Make returns the chunks of a table.
+// Make returns the snapshot of a table as chunks.
 func Make(state *table.State) ([]Chunk, error) {
 	encoded, err := state.Encode()
 	if err != nil {
@@ -72,7 +73,7 @@
 	compressed := Compress(encoded)
 	count := (len(compressed) + chunkBytes - 1) / chunkBytes
 	if count > maxChunks {
-		return nil, fmt.Errorf("%w: %d chunks", ErrMalformed, count)
+		return nil, fmt.Errorf("%w: too many chunks: %d", ErrMalformed, count)
 	}
 	chunks := make([]Chunk, count)
 	for i := range chunks {
@@ -85,33 +86,34 @@
 	return chunks, nil
 }
 
-// Assembler puts chunks together, which may come in any order and more than
-// once, from several boxes.
+// Assembler assembles snapshots from chunks. Chunks may be added in any order,
+// more than once and from several boxes.
 type Assembler struct {
-	parts map[partKey]map[int][]byte
-	// hashes are those of each offset.
+	chunks map[snapshotKey]map[int][]byte
+	// hashes holds the hash that was added last for each offset.
 	hashes map[int64]string
 }
 
-type partKey struct {
+// snapshotKey identifies one version of a snapshot.
+type snapshotKey struct {
 	offset int64
 	hash   string
 	count  int
 }
 
-// NewAssembler returns an assembler without chunks.
+// NewAssembler returns an Assembler without chunks.
 func NewAssembler() *Assembler {
-	return &Assembler{parts: map[partKey]map[int][]byte{}, hashes: map[int64]string{}}
+	return &Assembler{chunks: map[snapshotKey]map[int][]byte{}, hashes: map[int64]string{}}
 }
 
-// Add takes in a chunk. ErrDiffers means that another box made something else
-// of the same offset; both are kept.
+// Add adds a chunk. It returns ErrDiffers if a chunk with a different hash was
+// added for the same offset; both are kept.
 func (a *Assembler) Add(c Chunk) error {
-	key := partKey{offset: c.Offset, hash: c.Hash, count: c.Count}
-	if a.parts[key] == nil {
-		a.parts[key] = map[int][]byte{}
+	key := snapshotKey{offset: c.Offset, hash: c.Hash, count: c.Count}
+	if a.chunks[key] == nil {
+		a.chunks[key] = map[int][]byte{}
 	}
-	a.parts[key][c.Index] = c.Data
+	a.chunks[key][c.Index] = c.Data
 	known, found := a.hashes[c.Offset]
 	a.hashes[c.Offset] = c.Hash
 	if found && known != c.Hash {
@@ -120,24 +122,25 @@
 	return nil
 }
 
-// Newest returns the newest whole table, or nil when none is whole.
+// Newest returns the table of the newest complete snapshot, or nil if no snapshot
+// is complete.
 func (a *Assembler) Newest() (*table.State, error) {
-	newest, found := partKey{}, false
-	for key, parts := range a.parts {
-		if len(parts) == key.count && (!found || key.offset > newest.offset) {
+	newest, found := snapshotKey{}, false
+	for key, chunks := range a.chunks {
+		if len(chunks) == key.count && (!found || key.offset > newest.offset) {
 			newest, found = key, true
 		}
 	}
 	if !found {
-		return nil, nil //nolint:nilnil // no snapshot is no error
+		return nil, nil //nolint:nilnil // a missing snapshot is not an error
 	}
-	return assemble(newest, a.parts[newest])
+	return assemble(newest, a.chunks[newest])
 }
 
-func assemble(key partKey, parts map[int][]byte) (*table.State, error) {
+func assemble(key snapshotKey, chunks map[int][]byte) (*table.State, error) {
 	compressed := []byte{}
 	for i := range key.count {
-		compressed = append(compressed, parts[i]...)
+		compressed = append(compressed, chunks[i]...)
 	}
 	encoded, err := Decompress(compressed)
 	if err != nil {
@@ -145,30 +148,30 @@
 	}
 	digest := sha256.Sum256(encoded)
 	if hex.EncodeToString(digest[:]) != key.hash {
-		return nil, fmt.Errorf("%w: hash of offset %d", ErrMalformed, key.offset)
+		return nil, fmt.Errorf("%w: hash mismatch at offset %d", ErrMalformed, key.offset)
 	}
 	state, err := table.Decode(encoded)
 	if err != nil {
 		return nil, err
 	}
 	if state.Offset() != key.offset {
-		return nil, fmt.Errorf("%w: offset %d in a snapshot of %d", ErrMalformed, state.Offset(), key.offset)
+		return nil, fmt.Errorf("%w: table at offset %d in a snapshot of %d", ErrMalformed, state.Offset(), key.offset)
 	}
 	return state, nil
 }
 
-// Compress returns data in zstd's form.
+// Compress compresses data with zstd.
 func Compress(data []byte) []byte {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
 	if err != nil {
-		// Only wrong options fail.
+		// NewWriter fails only on invalid options.
 		panic(err)
 	}
 	defer func() { _ = encoder.Close() }()
 	return encoder.EncodeAll(data, nil)
 }
 
-// Decompress undoes Compress.
+// Decompress decompresses the output of Compress.
 func Decompress(data []byte) ([]byte, error) {
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxStateBytes))
 	if err != nil {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -11,8 +11,8 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// grown is a table whose snapshot takes several chunks.
-func grown(t *testing.T) *table.State {
+// newLargeTable returns a table whose snapshot has several chunks.
+func newLargeTable(t *testing.T) *table.State {
 	t.Helper()
 	state := table.New()
 	for part := range 6 {
@@ -31,7 +31,7 @@
 }
 
 func TestSnapshot(t *testing.T) {
-	chunks, err := Make(grown(t))
+	chunks, err := Make(newLargeTable(t))
 	require.NoError(t, err)
 	require.Greater(t, len(chunks), 1)
 	add := func(a *Assembler, list []Chunk) {
@@ -39,7 +39,7 @@
 			require.NoError(t, a.Add(list[len(list)-1-i]))
 		}
 	}
-	t.Run("comes back from chunks in any order, twice", func(t *testing.T) {
+	t.Run("is assembled from chunks in any order and with duplicates", func(t *testing.T) {
 		a := NewAssembler()
 		add(a, chunks)
 		add(a, chunks)
@@ -47,14 +47,14 @@
 		require.NoError(t, err)
 		assert.Len(t, state.RowNames(table.Organisations), 12_000)
 	})
-	t.Run("is not taken while a chunk is missing", func(t *testing.T) {
+	t.Run("is not returned while a chunk is missing", func(t *testing.T) {
 		a := NewAssembler()
 		add(a, chunks[1:])
 		state, err := a.Newest()
 		require.NoError(t, err)
 		assert.Nil(t, state)
 	})
-	t.Run("is refused when its bytes changed", func(t *testing.T) {
+	t.Run("is rejected if its hash does not match", func(t *testing.T) {
 		a := NewAssembler()
 		changed := append([]Chunk(nil), chunks...)
 		changed[0].Hash = changed[0].Hash[:63] + "x"
@@ -65,8 +65,8 @@
 		_, err := a.Newest()
 		assert.ErrorIs(t, err, ErrMalformed)
 	})
-	t.Run("is the same from every box", func(t *testing.T) {
-		again, err := Make(grown(t))
+	t.Run("is deterministic", func(t *testing.T) {
+		again, err := Make(newLargeTable(t))
 		require.NoError(t, err)
 		assert.Equal(t, chunks, again)
 	})
