--- a/internal/engine/chat.go
+++ b/internal/engine/chat.go
@@ -8,18 +8,18 @@
 	"strings"
 )
 
-// ErrBadRequest means that a chat request cannot be used; the text names the
+// ErrInvalidRequest is returned for an invalid chat request. The message names the
 // field.
-var ErrBadRequest = errors.New("bad request")
+var ErrInvalidRequest = errors.New("bad request")
 
-// Bounds of names in a chat request.
+// Limits of the strings in a chat request.
 const (
-	maxModelBytes = 256
-	maxKeyBytes   = 512
+	maxModelBytes    = 256
+	maxCacheKeyBytes = 512
 )
 
 // ChatRequest is the part of a chat completion request that routing needs. The
-// body goes to the engine as it came.
+// body is forwarded to the engine unchanged.
 type ChatRequest struct {
 	Model          string            `json:"model"`
 	Stream         bool              `json:"stream"`
@@ -27,60 +27,63 @@
 	Messages       []json.RawMessage `json:"messages"`
 }
 
-// ParseChatRequest decodes and checks a body whose nesting is at most maxDepth.
+// ParseChatRequest decodes and validates a body. It rejects a body that is nested
+// deeper than maxDepth.
 func ParseChatRequest(body []byte, maxDepth int) (ChatRequest, error) {
 	if err := checkDepth(body, maxDepth); err != nil {
 		return ChatRequest{}, err
 	}
 	var request ChatRequest
 	if err := json.Unmarshal(body, &request); err != nil {
-		return ChatRequest{}, badJSON(err)
+		return ChatRequest{}, newDecodeError(err)
 	}
 	switch {
 	case request.Model == "":
-		return ChatRequest{}, fmt.Errorf("%w: model: is missing", ErrBadRequest)
+		return ChatRequest{}, fmt.Errorf("%w: model: is missing", ErrInvalidRequest)
 	case len(request.Model) > maxModelBytes:
-		return ChatRequest{}, fmt.Errorf("%w: model: longer than %d bytes", ErrBadRequest, maxModelBytes)
-	case len(request.PromptCacheKey) > maxKeyBytes:
-		return ChatRequest{}, fmt.Errorf("%w: prompt_cache_key: longer than %d bytes", ErrBadRequest, maxKeyBytes)
+		return ChatRequest{}, fmt.Errorf("%w: model: longer than %d bytes", ErrInvalidRequest, maxModelBytes)
+	case len(request.PromptCacheKey) > maxCacheKeyBytes:
+		return ChatRequest{}, fmt.Errorf("%w: prompt_cache_key: longer than %d bytes", ErrInvalidRequest, maxCacheKeyBytes)
 	case len(request.Messages) == 0:
-		return ChatRequest{}, fmt.Errorf("%w: messages: must have at least one", ErrBadRequest)
+		return ChatRequest{}, fmt.Errorf("%w: messages: must have at least one", ErrInvalidRequest)
 	}
 	return request, nil
 }
 
-// badJSON names the field of a decoding error without echoing its value.
-func badJSON(err error) error {
-	var wrongType *json.UnmarshalTypeError
-	if errors.As(err, &wrongType) {
-		return fmt.Errorf("%w: %s: must not be a %s", ErrBadRequest, wrongType.Field, wrongType.Value)
+// newDecodeError converts a decoding error into one that names the field without
+// echoing its value.
+func newDecodeError(err error) error {
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		return fmt.Errorf("%w: %s: must not be a %s", ErrInvalidRequest, typeError.Field, typeError.Value)
 	}
-	var syntax *json.SyntaxError
-	if errors.As(err, &syntax) {
-		return fmt.Errorf("%w: body: not JSON at byte %d", ErrBadRequest, syntax.Offset)
+	var syntaxError *json.SyntaxError
+	if errors.As(err, &syntaxError) {
+		return fmt.Errorf("%w: body: not JSON at byte %d", ErrInvalidRequest, syntaxError.Offset)
 	}
-	return fmt.Errorf("%w: body: not a JSON object", ErrBadRequest)
+	return fmt.Errorf("%w: body: not a JSON object", ErrInvalidRequest)
 }
 
-// openingMessages is how many messages name a session that brings no key: the
-// system prompt and the first turn stay the same for a session's whole life.
+// openingMessages is the number of messages that identify a session without a
+// prompt cache key: the system prompt and the first turn do not change during a
+// session.
 const openingMessages = 2
 
-// Opening returns the bytes of the opening messages, compacted, so that white
-// space does not change them.
+// Opening returns the opening messages as compacted JSON, so that white space makes
+// no difference.
 func (c *ChatRequest) Opening() []byte {
 	var opening bytes.Buffer
 	for _, message := range c.Messages[:min(openingMessages, len(c.Messages))] {
-		// The whole body was decoded before, so each message is valid JSON.
+		// Compacting cannot fail: the body was decoded, so each message is valid JSON.
 		_ = json.Compact(&opening, message)
 	}
 	return opening.Bytes()
 }
 
-// Fresh reports whether no answer stands among the messages yet.
+// Fresh reports whether the messages contain no answer of the model yet.
 func (c *ChatRequest) Fresh() bool { return len(c.Messages) <= openingMessages }
 
-// checkDepth bounds the nesting before the decoder recurses into it.
+// checkDepth limits the nesting of a body before the decoder recurses into it.
 func checkDepth(body []byte, maxDepth int) error {
 	depth, inString, escaped := 0, false, false
 	for _, b := range body {
@@ -98,13 +101,13 @@
 			depth--
 		}
 		if depth > maxDepth {
-			return fmt.Errorf("%w: body: nested deeper than %d", ErrBadRequest, maxDepth)
+			return fmt.Errorf("%w: body: nested deeper than %d", ErrInvalidRequest, maxDepth)
 		}
 	}
 	return nil
 }
 
-// Usage is the token count of an answer.
+// Usage holds the token counts of a completion.
 type Usage struct {
 	PromptTokens     int          `json:"prompt_tokens"`
 	CompletionTokens int          `json:"completion_tokens"`
@@ -112,12 +115,12 @@
 	Details          UsageDetails `json:"prompt_tokens_details"`
 }
 
-// UsageDetails splits the prompt's tokens.
+// UsageDetails breaks down the tokens of the prompt.
 type UsageDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Completion is an answer that is not streamed, or one part of a streamed one.
+// Completion is a complete response, or one chunk of a streamed response.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -126,7 +129,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Choice is one alternative of an answer.
+// Choice is one alternative of a completion.
 type Choice struct {
 	Index        int      `json:"index"`
 	Message      *Message `json:"message,omitempty"`
@@ -140,7 +143,8 @@
 	Content string `json:"content"`
 }
 
-// Chat is a whole request as callers of ours and the stand-ins build it.
+// Chat is a complete chat completion request, as this project's own clients and
+// stand-in engines use it.
 type Chat struct {
 	Model          string    `json:"model"`
 	Messages       []Message `json:"messages"`
@@ -149,7 +153,7 @@
 	PromptCacheKey string    `json:"prompt_cache_key,omitempty"`
 }
 
-// Prompt returns all turns as one text, the way the cache sees them.
+// Prompt returns all messages as one text, which is the input of the prompt cache.
 func (c *Chat) Prompt() string {
 	var prompt strings.Builder
 	for _, message := range c.Messages {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,7 @@
-// Package engine knows the wire form of the model engines: chat completions
-// over server-sent events, resume and cancel of streams, load reports, cache
-// events and fenced orders. No other package does.
+// Package engine implements the wire protocol of the model engines: chat
+// completions over server-sent events, resuming and cancelling of streams, load
+// reports, cache events and orders with fencing tokens. No other package depends
+// on the details of this protocol.
 package engine
 
 import (
@@ -16,37 +17,38 @@
 	"dooryard.example/dooryard/internal/jsonhttp"
 )
 
-// Headers of the engines' wire form.
+// Headers of the engines' protocol.
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderPriority  = "X-Priority"
 	HeaderDeadline  = "X-Deadline-Ms"
-	// HeaderNotRun is set to "true" by an upstream that refused a request and
-	// ran nothing of it.
+	// HeaderNotRun is "true" if the upstream rejected the request without running
+	// any part of it.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderInFlight and HeaderQueued carry the load back on each answer.
+	// HeaderInFlight and HeaderQueued report the load of the engine with each
+	// response.
 	HeaderInFlight = "X-Engine-In-Flight"
 	HeaderQueued   = "X-Engine-Queued"
 )
 
-// Done is the data of the event that closes a whole stream.
+// Done is the data of the event that ends a complete stream.
 const Done = "[DONE]"
 
-// Sentinel errors of the engines.
+// Sentinel errors of calls to engines.
 var (
-	// ErrUnavailable means that the engine gave no usable answer.
+	// ErrUnavailable means that the engine returned no usable response.
 	ErrUnavailable = errors.New("engine unavailable")
-	// ErrStaleToken means that the engine has seen a newer fencing token.
+	// ErrStaleToken means that the engine has already seen a newer fencing token.
 	ErrStaleToken = errors.New("stale fencing token")
-	// ErrBadReport means that a load report could not be used.
-	ErrBadReport = errors.New("bad load report")
-	// ErrBusy means that the engine is carrying out another order.
+	// ErrInvalidReport is returned for an invalid load report.
+	ErrInvalidReport = errors.New("invalid load report")
+	// ErrBusy means that the engine is still executing another order.
 	ErrBusy = errors.New("engine has an order outstanding")
 )
 
 const maxReplyBytes = 1 << 20
 
-// Load is an engine's lagged report of itself.
+// Load is an engine's report of its own load. It lags behind the actual load.
 type Load struct {
 	InFlight int          `json:"in_flight"`
 	Queued   int          `json:"queued"`
@@ -56,22 +58,22 @@
 	AtMs     clock.Millis `json:"at_ms"`
 }
 
-// UnmarshalJSON decodes and checks a report.
+// UnmarshalJSON decodes and validates a load report.
 func (l *Load) UnmarshalJSON(data []byte) error {
 	type wire Load
-	decoded, err := codec.Decode[wire](data, ErrBadReport)
+	decoded, err := codec.Decode[wire](data, ErrInvalidReport)
 	if err != nil {
 		return err
 	}
 	if decoded.InFlight < 0 || decoded.Queued < 0 || decoded.Slots < 0 {
-		return fmt.Errorf("%w: negative count", ErrBadReport)
+		return fmt.Errorf("%w: negative count", ErrInvalidReport)
 	}
 	*l = Load(decoded)
 	return nil
 }
 
-// CacheEvent says that an engine stored or evicted a prompt prefix. Events come
-// late and with gaps in their sequence numbers.
+// CacheEvent reports that an engine stored or evicted a prompt prefix. Events arrive
+// late, and their sequence numbers may have gaps.
 type CacheEvent struct {
 	Sequence int64  `json:"sequence"`
 	Prefix   uint64 `json:"prefix"`
@@ -79,7 +81,7 @@
 	Tokens   int    `json:"tokens"`
 }
 
-// Action is what an order asks for.
+// Action is the operation that an order requests.
 type Action string
 
 // Actions of an order.
@@ -88,8 +90,9 @@
 	ActionUnload Action = "unload"
 )
 
-// Order asks an engine to load or unload a model. An engine that checks tokens
-// refuses one that is older than the newest it has seen.
+// Order requests that an engine load or unload a model. An engine that checks
+// fencing tokens rejects an order whose token is older than the newest one it has
+// seen.
 type Order struct {
 	ID     string `json:"id"`
 	Token  int64  `json:"token"`
@@ -97,15 +100,16 @@
 	Model  string `json:"model"`
 }
 
-// OrderState is what an engine says of its orders.
+// OrderState is an engine's report on its models and orders.
 type OrderState struct {
 	Models      []string `json:"models"`
 	NewestToken int64    `json:"newest_token"`
-	// Outstanding is the id of the order that is being carried out, or "".
+	// Outstanding is the ID of the order that is being executed, or "".
 	Outstanding string `json:"outstanding"`
 }
 
-// Client calls one engine's side interface. The chat path is the forward step's.
+// Client calls the control API of one engine. Chat requests are forwarded by package
+// forward instead.
 type Client struct {
 	URL    string
 	Client *http.Client
@@ -118,7 +122,7 @@
 	return load, err
 }
 
-// CacheEvents returns events from a sequence number on.
+// CacheEvents returns the cache events from a sequence number on.
 func (c Client) CacheEvents(ctx context.Context, from int64) ([]CacheEvent, error) {
 	var events []CacheEvent
 	_, err := c.call(ctx, http.MethodGet, "/v1/cache/events?from="+strconv.FormatInt(from, 10), nil, &events)
@@ -132,8 +136,8 @@
 	return state, err
 }
 
-// Order gives an order. ErrStaleToken and ErrBusy mean that it was not taken;
-// ErrUnavailable leaves that open.
+// Order submits an order. After ErrStaleToken and ErrBusy, the order was rejected.
+// After ErrUnavailable, it may have been accepted.
 func (c Client) Order(ctx context.Context, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -149,7 +153,7 @@
 	return err
 }
 
-// Cancel stops a stream and frees its slot.
+// Cancel cancels a stream, which frees its slot.
 func (c Client) Cancel(ctx context.Context, requestID string) error {
 	_, err := c.call(ctx, http.MethodDelete, "/v1/streams/"+requestID, nil, nil)
 	return err
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func events(text string) (data []string, last error) {
+// readEvents returns the data of all events of a stream and its first error.
+func readEvents(text string) (data []string, last error) {
 	for event, err := range Events(strings.NewReader(text)) {
 		if err != nil {
 			return data, err
@@ -21,29 +22,29 @@
 }
 
 func TestEvents(t *testing.T) {
-	t.Run("end with the closing one", func(t *testing.T) {
-		data, err := events("id: 0\ndata: a\n\nid: 1\ndata: [DONE]\n\nid: 2\ndata: more\n\n")
+	t.Run("end after the final event", func(t *testing.T) {
+		data, err := readEvents("id: 0\ndata: a\n\nid: 1\ndata: [DONE]\n\nid: 2\ndata: more\n\n")
 		require.NoError(t, err)
 		assert.Equal(t, []string{"a", Done}, data)
 	})
-	t.Run("that end without it are cut", func(t *testing.T) {
-		_, err := events("id: 0\ndata: a\n\n")
-		assert.ErrorIs(t, err, ErrCut)
+	t.Run("are truncated without the final event", func(t *testing.T) {
+		_, err := readEvents("id: 0\ndata: a\n\n")
+		assert.ErrorIs(t, err, ErrTruncated)
 	})
-	t.Run("that break within one are cut", func(t *testing.T) {
-		data, err := events("id: 0\ndata: a\n\nid: 1\ndata: [DO")
-		require.ErrorIs(t, err, ErrCut)
+	t.Run("are truncated if the stream ends within an event", func(t *testing.T) {
+		data, err := readEvents("id: 0\ndata: a\n\nid: 1\ndata: [DO")
+		require.ErrorIs(t, err, ErrTruncated)
 		assert.Equal(t, []string{"a"}, data)
 	})
-	t.Run("with a wrong id are refused", func(t *testing.T) {
-		_, err := events("id: x\ndata: a\n\n")
-		assert.ErrorIs(t, err, ErrBadEvent)
+	t.Run("with an invalid id are rejected", func(t *testing.T) {
+		_, err := readEvents("id: x\ndata: a\n\n")
+		assert.ErrorIs(t, err, ErrMalformedEvent)
 	})
 }
 
 func TestChatRequest(t *testing.T) {
 	const good = `{"model":"m","messages":[{"role":"user","content":"x"}]}`
-	t.Run("names a session by its opening", func(t *testing.T) {
+	t.Run("has the same opening regardless of white space", func(t *testing.T) {
 		one, err := ParseChatRequest([]byte(good), 10)
 		require.NoError(t, err)
 		two, err := ParseChatRequest([]byte(strings.ReplaceAll(good, ":", " : ")), 10)
@@ -51,17 +52,17 @@
 		assert.Equal(t, one.Opening(), two.Opening())
 	})
 	for name, c := range map[string]struct{ body, want string }{
-		"model":       {`{"messages":[1]}`, "model: is missing"},
-		"messages":    {`{"model":"m"}`, "messages: must have at least one"},
-		"wrong type":  {`{"model":5}`, "model: must not be a number"},
-		"not JSON":    {`{"model":`, "body: not JSON"},
-		"too deep":    {strings.Repeat("[", 20), "nested deeper than 10"},
-		"not a list":  {`[]`, "must not be a array"},
-		"long a name": {`{"model":"` + strings.Repeat("m", 300) + `","messages":[1]}`, "model: longer"},
+		"model":      {`{"messages":[1]}`, "model: is missing"},
+		"messages":   {`{"model":"m"}`, "messages: must have at least one"},
+		"wrong type": {`{"model":5}`, "model: must not be a number"},
+		"not JSON":   {`{"model":`, "body: not JSON"},
+		"too deep":   {strings.Repeat("[", 20), "nested deeper than 10"},
+		"not a list": {`[]`, "must not be a array"},
+		"long name":  {`{"model":"` + strings.Repeat("m", 300) + `","messages":[1]}`, "model: longer"},
 	} {
-		t.Run("names what is wrong: "+name, func(t *testing.T) {
+		t.Run("names the invalid field: "+name, func(t *testing.T) {
 			_, err := ParseChatRequest([]byte(c.body), 10)
-			require.ErrorIs(t, err, ErrBadRequest)
+			require.ErrorIs(t, err, ErrInvalidRequest)
 			assert.Contains(t, err.Error(), c.want)
 		})
 	}
@@ -72,7 +73,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		chat, err := ParseChatRequest(body, 16)
 		if err != nil {
-			require.ErrorIs(t, err, ErrBadRequest)
+			require.ErrorIs(t, err, ErrInvalidRequest)
 			return
 		}
 		chat.Opening()
@@ -82,7 +83,7 @@
 func FuzzEvents(f *testing.F) {
 	f.Add("id: 0\ndata: a\n\ndata: [DONE]\n\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		if _, err := events(text); err != nil && !errors.Is(err, ErrCut) && !errors.Is(err, ErrBadEvent) {
+		if _, err := readEvents(text); err != nil && !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrMalformedEvent) {
 			t.Fatalf("unexpected error %v", err)
 		}
 	})
@@ -93,7 +94,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var load Load
 		if err := json.Unmarshal(data, &load); err == nil && load.InFlight < 0 {
-			t.Fatal("a negative load")
+			t.Fatal("decoded a negative load")
 		}
 	})
 }
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -12,16 +12,16 @@
 
 // Errors of reading an event stream.
 var (
-	// ErrCut means that the stream ended before its closing event.
-	ErrCut = errors.New("stream cut before its closing event")
-	// ErrBadEvent means that the stream broke its own rules.
-	ErrBadEvent = errors.New("malformed stream event")
+	// ErrTruncated means that the stream ended before its final event.
+	ErrTruncated = errors.New("stream ended before its final event")
+	// ErrMalformedEvent means that an event violates the protocol.
+	ErrMalformedEvent = errors.New("malformed stream event")
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes is the maximum size of one event of a stream.
 const maxEventBytes = 1 << 20
 
-// NoID is the ID of an event before any that carries one.
+// NoID is the ID of events that precede the first event with an ID.
 const NoID int64 = -1
 
 // Event is one server-sent event with its offset in the stream.
@@ -30,18 +30,18 @@
 	Data string
 }
 
-// Done reports whether the event closes the stream.
+// Done reports whether the event ends the stream.
 func (e Event) Done() bool { return e.Data == Done }
 
-// Events yields the server-sent events of an engine's answer up to the closing
-// one. A stream that ends without it yields ErrCut last; one that breaks its own
-// rules yields ErrBadEvent.
+// Events yields the server-sent events of an engine's response up to and including
+// the final event. It ends with ErrTruncated if the stream ends without the final
+// event, and with ErrMalformedEvent if an event violates the protocol.
 func Events(body io.Reader) iter.Seq2[Event, error] {
 	return func(yield func(Event, error) bool) {
 		config := &sse.ReadConfig{MaxEventSize: maxEventBytes}
 		for raw, err := range sse.Read(body, config) {
 			if err != nil {
-				yield(Event{}, fmt.Errorf("%w: %w", ErrCut, err))
+				yield(Event{}, fmt.Errorf("%w: %w", ErrTruncated, err))
 				return
 			}
 			event, err := decodeEvent(raw)
@@ -49,7 +49,7 @@
 				return
 			}
 		}
-		yield(Event{}, ErrCut)
+		yield(Event{}, ErrTruncated)
 	}
 }
 
@@ -60,7 +60,7 @@
 	}
 	id, err := strconv.ParseInt(raw.LastEventID, 10, 64)
 	if err != nil || id < 0 {
-		return Event{}, fmt.Errorf("%w: id is no offset", ErrBadEvent)
+		return Event{}, fmt.Errorf("%w: id is not an offset", ErrMalformedEvent)
 	}
 	event.ID = id
 	return event, nil
