--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -1,4 +1,4 @@
-// Package jsonhttp holds what handlers and clients of JSON over HTTP share.
+// Package jsonhttp provides helpers for handlers and clients of JSON over HTTP.
 package jsonhttp
 
 import (
@@ -13,13 +13,13 @@
 	"dooryard.example/dooryard/internal/apierror"
 )
 
-// ErrTooLong means that a body is longer than its reader takes.
+// ErrTooLong means that a body exceeds the size limit.
 var ErrTooLong = errors.New("body too long")
 
-// Write answers 200 with a value.
+// Write responds with status 200 and a value as JSON.
 func Write[T any](w http.ResponseWriter, value T) { WriteStatus(w, http.StatusOK, value) }
 
-// WriteStatus answers with a status and a value.
+// WriteStatus responds with a status and a value as JSON.
 func WriteStatus[T any](w http.ResponseWriter, status int, value T) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -28,11 +28,11 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A reader that is gone can't be told.
+	// A write error means that the client is gone, so it cannot be reported.
 	_, _ = w.Write(data)
 }
 
-// Read decodes a request's body of at most limit bytes.
+// Read decodes a JSON request body of at most limit bytes.
 func Read[T any](w http.ResponseWriter, r *http.Request, limit int64) (T, error) {
 	var value T
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
@@ -42,27 +42,27 @@
 	return value, json.Unmarshal(data, &value)
 }
 
-// Reply is the answer to a call.
+// Reply is the response to a call.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Call is one call to make.
+// Call is one HTTP request with a JSON body.
 type Call struct {
 	Client *http.Client
 	Method string
 	URL    string
 	Body   []byte
-	// Header is added to the request's; it may be nil.
+	// Header holds additional request headers. It may be nil.
 	Header http.Header
-	// Limit is the longest answer that is taken, in bytes.
+	// Limit is the maximum size of the response body in bytes.
 	Limit int64
 }
 
-// Do makes the call and reads the whole answer. Statuses are the caller's to
-// judge.
+// Do sends the request and reads the complete response. A status that reports an
+// error is not an error of Do, but is left to the caller.
 func (c Call) Do(ctx context.Context) (Reply, error) {
 	request, err := http.NewRequestWithContext(ctx, c.Method, c.URL, bytes.NewReader(c.Body))
 	if err != nil {
@@ -81,10 +81,10 @@
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, c.Limit+1))
 	if err != nil {
-		return Reply{}, fmt.Errorf("answer: %w", err)
+		return Reply{}, fmt.Errorf("response: %w", err)
 	}
 	if int64(len(data)) > c.Limit {
-		return Reply{}, fmt.Errorf("answer: %w", ErrTooLong)
+		return Reply{}, fmt.Errorf("response: %w", ErrTooLong)
 	}
 	return Reply{Status: response.StatusCode, Header: response.Header, Body: data}, nil
 }
