--- a/internal/transport/control.go
+++ b/internal/transport/control.go
@@ -6,11 +6,12 @@
 	"net/http"
 )
 
-// Counter counts bytes.
+// Counter counts bytes that were sent or received.
 type Counter interface{ Add(delta int64) }
 
-// Control is an HTTP client for control traffic between boxes and to the
-// platform: it adds a key and counts the bytes on its sockets.
+// Control returns an HTTP client for control traffic between boxes and to the
+// platform. It adds a bearer key to each request and counts the bytes on its
+// connections.
 func Control(settings Settings, key func() string, sent, received Counter) *http.Client {
 	dial := settings.Dial
 	if dial == nil {
@@ -23,41 +24,42 @@
 		if err != nil {
 			return nil, err
 		}
-		return &countedConn{Conn: conn, sent: sent, received: received}, nil
+		return &countingConn{Conn: conn, sent: sent, received: received}, nil
 	}
-	return &http.Client{Transport: &keyed{next: New(settings), key: key}}
+	return &http.Client{Transport: &bearerTransport{next: New(settings), key: key}}
 }
 
-type countedConn struct {
+// countingConn counts the bytes that are read from and written to a connection.
+type countingConn struct {
 	net.Conn
 	sent, received Counter
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(data []byte) (int, error) {
+func (c *countingConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	c.received.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(data []byte) (int, error) {
+func (c *countingConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.sent.Add(int64(n))
 	return n, err
 }
 
-// keyed adds the bearer key to each request, if there is one.
-type keyed struct {
+// bearerTransport adds the current bearer key, if there is one, to each request.
+type bearerTransport struct {
 	next http.RoundTripper
 	key  func() string
 }
 
 // RoundTrip implements http.RoundTripper.
-func (k *keyed) RoundTrip(r *http.Request) (*http.Response, error) {
-	if key := k.key(); key != "" {
+func (t *bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if key := t.key(); key != "" {
 		r = r.Clone(r.Context())
 		r.Header.Set("Authorization", "Bearer "+key)
 	}
-	return k.next.RoundTrip(r)
+	return t.next.RoundTrip(r)
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport makes the HTTP clients towards upstreams and knows of each
-// attempt whether any byte of it may have left.
+// Package transport provides the HTTP transports to upstreams and tracks for each
+// attempt whether any byte of it may have been sent.
 package transport
 
 import (
@@ -14,36 +14,37 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// errSealed is what a write gets on a connection whose attempt was given up.
-var errSealed = errors.New("attempt given up")
+// errAborted is returned by writes to a connection whose attempt was aborted or
+// whose deadline for writes has passed.
+var errAborted = errors.New("attempt aborted")
 
-// Dial opens a connection; tests replace it.
+// Dial opens a connection. Tests replace it.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Settings bound the connections to upstreams.
+// Settings configures the connections to upstreams.
 type Settings struct {
 	ConnectTimeoutMs   clock.Millis
 	FirstByteTimeoutMs clock.Millis
 	IdleTimeoutMs      clock.Millis
-	// MaxIdlePerHost is how many idle connections to one upstream are kept.
+	// MaxIdlePerHost is the maximum number of idle connections to one upstream.
 	MaxIdlePerHost int
 	MaxHeaderBytes int64
-	// Dial is the standard dialer when nil.
+	// Dial replaces the standard dialer if it is not nil.
 	Dial Dial
 	// TLS is used for https URLs.
 	TLS *tls.Config
 }
 
-// New returns a transport whose attempts Watch can follow. It speaks HTTP/1.1,
-// where an answer that is given up closes its connection, so that no later
-// request can meet the rest of it.
+// New returns a transport whose attempts a Watch can track. It uses HTTP/1.1, where
+// abandoning a response closes its connection, so that no later request can read
+// the rest of that response.
 func New(settings Settings) *http.Transport {
 	dial := settings.Dial
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: settings.ConnectTimeoutMs.Duration()}).DialContext
 	}
 	return &http.Transport{
-		DialContext:            watchedDial(dial),
+		DialContext:            trackedDial(dial),
 		ResponseHeaderTimeout:  settings.FirstByteTimeoutMs.Duration(),
 		IdleConnTimeout:        settings.IdleTimeoutMs.Duration(),
 		MaxIdleConnsPerHost:    settings.MaxIdlePerHost,
@@ -53,83 +54,88 @@
 	}
 }
 
-func watchedDial(dial Dial) func(ctx context.Context, network, address string) (net.Conn, error) {
+func trackedDial(dial Dial) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &watchedConn{Conn: conn}, nil
+		return &trackedConn{Conn: conn}, nil
 	}
 }
 
-// watchedConn counts what was handed to the connection, before it is written,
-// and refuses writes once its attempt was given up.
-type watchedConn struct {
+// trackedConn counts bytes right before they are written to the connection, and
+// rejects writes after its attempt was aborted.
+type trackedConn struct {
 	net.Conn
 
-	mu     sync.Mutex
-	handed int64
-	sealed bool
-	// late tells, if set, that nothing may be written any more.
-	late func() bool
+	mu      sync.Mutex
+	started int64
+	aborted bool
+	// expired, if set, reports whether writes are no longer allowed.
+	expired func() bool
 }
 
 // Write implements net.Conn.
-func (c *watchedConn) Write(data []byte) (int, error) {
-	if err := c.hand(len(data)); err != nil {
+func (c *trackedConn) Write(data []byte) (int, error) {
+	if err := c.startWrite(len(data)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(data)
 }
 
-func (c *watchedConn) hand(count int) error {
+// startWrite counts bytes that are about to be written, unless the write is no
+// longer allowed.
+func (c *trackedConn) startWrite(count int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sealed || c.late != nil && c.late() {
-		return errSealed
+	if c.aborted || c.expired != nil && c.expired() {
+		return errAborted
 	}
-	c.handed += int64(count)
+	c.started += int64(count)
 	return nil
 }
 
-func (c *watchedConn) count() int64 {
+func (c *trackedConn) startedBytes() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.handed
+	return c.started
 }
 
-func (c *watchedConn) setLate(late func() bool) {
+func (c *trackedConn) setExpired(expired func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.late = late
+	c.expired = expired
 }
 
-// seal refuses further writes and returns the final count.
-func (c *watchedConn) seal() int64 {
+// abort makes further writes fail and returns the final count.
+func (c *trackedConn) abort() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = true
-	return c.handed
+	c.aborted = true
+	return c.started
 }
 
-// Watch follows the connections that one attempt uses.
+// Watch tracks the connections that one attempt uses.
 type Watch struct {
-	// Late is looked at right before each write; when it returns true the write
-	// fails. It may be nil.
+	// Late is called right before each write, which fails if Late returns true. It
+	// may be nil.
 	Late func() bool
 
 	mu    sync.Mutex
-	used  []usedConn
-	blind bool
+	conns []attemptConn
+	// untracked is set if the attempt got a connection that cannot be tracked.
+	untracked bool
 }
 
-type usedConn struct {
-	conn   *watchedConn
+// attemptConn is a connection of an attempt with the number of bytes that were
+// written to it before the attempt.
+type attemptConn struct {
+	conn   *trackedConn
 	before int64
 }
 
-// Context returns a context whose requests are followed by the watch.
+// Context returns a context whose requests are tracked by the watch.
 func (w *Watch) Context(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: w.gotConn})
 }
@@ -137,46 +143,46 @@
 func (w *Watch) gotConn(info httptrace.GotConnInfo) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	below := info.Conn
-	if secured, isTLS := below.(*tls.Conn); isTLS {
-		below = secured.NetConn()
+	inner := info.Conn
+	if tlsConn, isTLS := inner.(*tls.Conn); isTLS {
+		inner = tlsConn.NetConn()
 	}
-	conn, ok := below.(*watchedConn)
+	conn, ok := inner.(*trackedConn)
 	if !ok {
-		w.blind = true
+		w.untracked = true
 		return
 	}
-	conn.setLate(w.Late)
-	w.used = append(w.used, usedConn{conn: conn, before: conn.count()})
+	conn.setExpired(w.Late)
+	w.conns = append(w.conns, attemptConn{conn: conn, before: conn.startedBytes()})
 }
 
 // Connected reports whether the attempt got a connection.
 func (w *Watch) Connected() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.blind || len(w.used) > 0
+	return w.untracked || len(w.conns) > 0
 }
 
-// SendBefore returns a context whose requests write nothing from an instant on.
-// The clock is looked at right before each write, so that a process which was
+// SendBefore returns a context whose requests write nothing at or after the given
+// instant. The clock is read right before each write, so that a process that was
 // paused after all other checks sends nothing late.
 func SendBefore(ctx context.Context, c clock.Clock, instant clock.Millis) context.Context {
 	watch := &Watch{Late: func() bool { return c.Now() >= instant }}
 	return watch.Context(ctx)
 }
 
-// GiveUp ends an attempt that failed and reports whether it is proved that no
-// byte of it left. After the call none can leave any more. Only an attempt that
-// got no answer may be given up.
+// GiveUp aborts a failed attempt and reports whether it is certain that no byte of
+// it was sent. After the call, no more bytes can be sent. It must not be called
+// for an attempt that got a complete response.
 func (w *Watch) GiveUp() (nothingSent bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	nothingSent = !w.blind
-	for _, used := range w.used {
-		if used.conn.seal() != used.before {
+	nothingSent = !w.untracked
+	for _, attempt := range w.conns {
+		if attempt.conn.abort() != attempt.before {
 			nothingSent = false
 		}
-		_ = used.conn.Close()
+		_ = attempt.conn.Close()
 	}
 	return nothingSent
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestWatch(t *testing.T) {
-	t.Run("proves that nothing left when no connection opened", func(t *testing.T) {
+	t.Run("reports that nothing was sent if no connection opened", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		require.NoError(t, listener.Close())
@@ -38,7 +38,7 @@
 		require.Error(t, post(watch.Context(t.Context()), t, newClient(), "http://"+listener.Addr().String()))
 		assert.True(t, watch.GiveUp())
 	})
-	t.Run("does not claim it once bytes were handed on", func(t *testing.T) {
+	t.Run("does not report it once bytes were written", func(t *testing.T) {
 		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		}))
@@ -47,17 +47,17 @@
 		require.Error(t, post(watch.Context(t.Context()), t, newClient(), server.URL))
 		assert.False(t, watch.GiveUp())
 	})
-	t.Run("lets nothing leave after an instant", func(t *testing.T) {
-		asked := 0
-		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked++ }))
+	t.Run("sends nothing after an instant", func(t *testing.T) {
+		requests := 0
+		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests++ }))
 		defer server.Close()
 		now := clock.Millis(0)
-		// The clock jumps after the connection opened, as in a pause.
+		// The clock jumps after the connection was opened, as if the process was paused.
 		c := clock.New(clock.WithNow(func() clock.Millis { return now }))
 		client := newClient()
 		require.NoError(t, post(SendBefore(t.Context(), c, 10), t, client, server.URL))
 		now = 10
 		require.Error(t, post(SendBefore(t.Context(), c, 10), t, client, server.URL))
-		assert.Equal(t, 1, asked)
+		assert.Equal(t, 1, requests)
 	})
 }
