--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,4 +1,4 @@
-// Package server opens the bounded listeners of a process.
+// Package server provides HTTP servers with limits on connections and headers.
 package server
 
 import (
@@ -21,26 +21,27 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// Listen opens a listener; tests replace it.
+// Listen opens a listener. Tests replace it.
 type Listen func(network, address string) (net.Listener, error)
 
-// Limits bound every listener of a box.
+// Limits holds the limits of every listener of a box.
 type Limits struct {
 	MaxHeaderBytes  int
 	HeaderTimeoutMs clock.Millis
 	IdleTimeoutMs   clock.Millis
-	// MaxConnections is how many connections are open at once.
+	// MaxConnections is the maximum number of simultaneous connections.
 	MaxConnections int
 }
 
-// Defaults of the limits.
+// Default values of the limits.
 const (
 	defaultHeaderTimeoutMs = 10_000
 	defaultIdleTimeoutMs   = 120_000
 	defaultMaxConnections  = 50_000
 )
 
-// LimitsOf returns the limits that the settings ask for.
+// LimitsOf returns the limits from the settings. It stores the defaults in settings
+// that are not set.
 func LimitsOf(settings *config.Router) Limits {
 	r := &settings.Request
 	config.Fill(&r.HeaderTimeoutMs, defaultHeaderTimeoutMs)
@@ -53,14 +54,14 @@
 	}
 }
 
-// Server is one listener with its handler.
+// Server serves one listener with a handler.
 type Server struct {
 	name     string
 	server   *http.Server
 	listener net.Listener
 }
 
-// Open opens a listener; requests are answered once Serve runs.
+// Open opens a listener. Requests are handled once Serve is called.
 func Open(name string, settings config.Listener, limits Limits, handler http.Handler, listen Listen) (*Server, error) {
 	listener, err := listen("tcp", settings.Address)
 	if err != nil {
@@ -68,11 +69,11 @@
 	}
 	listener = netutil.LimitListener(listener, limits.MaxConnections)
 	if settings.TLS.Enabled() {
-		files, err := newCertificate(settings.TLS)
+		certificate, err := newCertificateReloader(settings.TLS)
 		if err != nil {
 			return nil, errors.Join(fmt.Errorf("%s listener: %w", name, err), listener.Close())
 		}
-		listener = tls.NewListener(listener, &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: files.get})
+		listener = tls.NewListener(listener, &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: certificate.get})
 	}
 	return &Server{
 		name: name, listener: listener,
@@ -81,21 +82,21 @@
 			MaxHeaderBytes:    limits.MaxHeaderBytes,
 			ReadHeaderTimeout: limits.HeaderTimeoutMs.Duration(),
 			IdleTimeout:       limits.IdleTimeoutMs.Duration(),
-			ErrorLog:          log.New(discard{}, "", 0),
+			ErrorLog:          log.New(discardWriter{}, "", 0),
 		},
 	}, nil
 }
 
-// discard drops net/http's own lines: they tell of callers' broken connections
-// and are no JSON.
-type discard struct{}
+// discardWriter drops the log lines of net/http. They report broken connections of
+// callers and are not JSON, unlike the log of the process.
+type discardWriter struct{}
 
-func (discard) Write(line []byte) (int, error) { return len(line), nil }
+func (discardWriter) Write(line []byte) (int, error) { return len(line), nil }
 
-// Address returns the address that the listener got.
+// Address returns the address to which the listener is bound.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve answers requests until Shutdown or Close.
+// Serve handles requests until Shutdown or Close is called.
 func (s *Server) Serve() error {
 	err := s.server.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -104,7 +105,7 @@
 	return fmt.Errorf("%s listener: %w", s.name, err)
 }
 
-// Shutdown stops listening and waits for running requests.
+// Shutdown closes the listener and waits for running requests to finish.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if err := s.server.Shutdown(ctx); err != nil {
 		return fmt.Errorf("%s listener: %w", s.name, err)
@@ -112,10 +113,11 @@
 	return nil
 }
 
-// Close ends all connections at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() { _ = s.server.Close() }
 
-// RequireKey answers 401 to requests without one of the keys.
+// RequireKey wraps a handler and responds with status 401 to requests that have none
+// of the bearer keys.
 func RequireKey(keys *secret.Keys, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -127,41 +129,43 @@
 	})
 }
 
-// certificate is a key pair that is read again when its files change.
-type certificate struct {
+// certificateReloader holds a TLS key pair and reloads it from its files.
+type certificateReloader struct {
 	settings config.TLS
 	now      func() time.Time
 
-	mu     sync.Mutex
-	pair   *tls.Certificate
-	readAt time.Time
+	mu        sync.Mutex
+	pair      *tls.Certificate
+	checkedAt time.Time
 }
 
-const certificateCheck = 10 * time.Second
+// certificateCheckInterval is the minimum time between two reads of the files.
+const certificateCheckInterval = 10 * time.Second
 
-func newCertificate(settings config.TLS) (*certificate, error) {
-	c := &certificate{settings: settings, now: time.Now}
-	return c, c.read()
+func newCertificateReloader(settings config.TLS) (*certificateReloader, error) {
+	c := &certificateReloader{settings: settings, now: time.Now}
+	return c, c.reload()
 }
 
-func (c *certificate) read() error {
+func (c *certificateReloader) reload() error {
 	pair, err := tls.LoadX509KeyPair(c.settings.CertificateFile, c.settings.KeyFile)
 	if err != nil {
 		return fmt.Errorf("certificate: %w", err)
 	}
 	c.pair = &pair
-	c.readAt = c.now()
+	c.checkedAt = c.now()
 	return nil
 }
 
-// get reads the files again now and then. Files that don't fit together, as in
-// the middle of a change, leave the old pair in force.
-func (c *certificate) get(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+// get returns the key pair. It reloads the files if the last check is older than
+// certificateCheckInterval. If the files do not match, as during an update, the
+// previous pair stays in use.
+func (c *certificateReloader) get(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.now().Sub(c.readAt) > certificateCheck {
-		_ = c.read()
-		c.readAt = c.now()
+	if c.now().Sub(c.checkedAt) > certificateCheckInterval {
+		_ = c.reload()
+		c.checkedAt = c.now()
 	}
 	return c.pair, nil
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -39,19 +39,19 @@
 			test(t, host, s.Address())
 		})
 	}
-	t.Run("that send their header slowly are cut", func(t *testing.T) {
+	t.Run("that send their header slowly are disconnected", func(t *testing.T) {
 		inBubble(t, func(t *testing.T, host testlib.Host, address string) {
 			t.Helper()
 			conn, err := host.Dial(t.Context(), "tcp", address)
 			require.NoError(t, err)
-			began := clock.New().Now()
+			start := clock.New().Now()
 			_, err = conn.Write([]byte("GET / HTTP/1.1\r\n"))
 			require.NoError(t, err)
 			_, _ = io.ReadAll(conn)
-			assert.Equal(t, clock.Second, clock.New().Now()-began)
+			assert.Equal(t, clock.Second, clock.New().Now()-start)
 		})
 	})
-	t.Run("that send a long header are told so", func(t *testing.T) {
+	t.Run("that send a large header get status 431", func(t *testing.T) {
 		inBubble(t, func(t *testing.T, host testlib.Host, address string) {
 			t.Helper()
 			conn, err := host.Dial(t.Context(), "tcp", address)
@@ -64,7 +64,7 @@
 			require.NoError(t, err)
 			assert.Equal(t, "HTTP/1.1 431", string(answer))
 			require.NoError(t, conn.Close())
-			// The server keeps such a connection open for a moment.
+			// The server delays closing such a connection.
 			_ = clock.New().Sleep(t.Context(), clock.Second)
 		})
 	})
@@ -87,24 +87,24 @@
 		RequireKey(keys, http.HandlerFunc(ok)).ServeHTTP(recorder, request)
 		return recorder.status
 	}
-	t.Run("lets the key in and no other", func(t *testing.T) {
+	t.Run("accepts the key and no other", func(t *testing.T) {
 		assert.Equal(t, 200, status("the-first-key-of-all"))
 		assert.Equal(t, 401, status("another-key-than-that"))
 		assert.Equal(t, 401, status(""))
 	})
-	t.Run("takes rotated keys without a restart", func(t *testing.T) {
+	t.Run("accepts rotated keys without a restart", func(t *testing.T) {
 		write("the-second-key-of-all\nthe-first-key-of-all\n", time.Unix(2, 0))
 		now += 2000
 		assert.Equal(t, 200, status("the-second-key-of-all"))
 		assert.Equal(t, 200, status("the-first-key-of-all"))
 		assert.Equal(t, "the-second-key-of-all", keys.Current())
 	})
-	t.Run("keeps the old keys when the file breaks", func(t *testing.T) {
+	t.Run("keeps the previous keys if the file becomes invalid", func(t *testing.T) {
 		write("short", time.Unix(3, 0))
 		now += 2000
 		assert.Equal(t, 200, status("the-second-key-of-all"))
 	})
-	t.Run("refuses to start with a short key", func(t *testing.T) {
+	t.Run("rejects a short key at startup", func(t *testing.T) {
 		_, err := secret.Load(path, func() clock.Millis { return now })
 		assert.ErrorIs(t, err, secret.ErrNoKey)
 	})
@@ -131,25 +131,25 @@
 	files := config.TLS{CertificateFile: filepath.Join(dir, "cert"), KeyFile: filepath.Join(dir, "key")}
 	testlib.WriteCertificate(t, files, 1)
 	now := time.Now()
-	pair, err := newCertificate(files)
+	certificate, err := newCertificateReloader(files)
 	require.NoError(t, err)
-	pair.now = func() time.Time { return now }
+	certificate.now = func() time.Time { return now }
 	serial := func() int64 {
-		got, err := pair.get(&tls.ClientHelloInfo{})
+		pair, err := certificate.get(&tls.ClientHelloInfo{})
 		require.NoError(t, err)
-		parsed, err := x509.ParseCertificate(got.Certificate[0])
+		parsed, err := x509.ParseCertificate(pair.Certificate[0])
 		require.NoError(t, err)
 		return parsed.SerialNumber.Int64()
 	}
-	t.Run("serves the pair of the files", func(t *testing.T) { assert.EqualValues(t, 1, serial()) })
+	t.Run("serves the pair from the files", func(t *testing.T) { assert.EqualValues(t, 1, serial()) })
 	t.Run("serves a new pair without a restart", func(t *testing.T) {
 		testlib.WriteCertificate(t, files, 2)
-		now = now.Add(2 * certificateCheck)
+		now = now.Add(2 * certificateCheckInterval)
 		assert.EqualValues(t, 2, serial())
 	})
-	t.Run("keeps the old pair when the files don't fit", func(t *testing.T) {
+	t.Run("keeps the previous pair if the files do not match", func(t *testing.T) {
 		require.NoError(t, os.WriteFile(files.KeyFile, []byte("x"), 0o600))
-		now = now.Add(2 * certificateCheck)
+		now = now.Add(2 * certificateCheckInterval)
 		assert.EqualValues(t, 2, serial())
 	})
 }
