--- a/internal/secret/secret.go
+++ b/internal/secret/secret.go
@@ -1,7 +1,7 @@
-// Package secret holds the keys that listeners ask for. Keys live in files, one
-// a line, and are read again when the file changes, so that they are rotated
-// without a restart: add the new key as a second line everywhere, then make it
-// the first, then drop the old one.
+// Package secret manages the bearer keys that listeners require. A key file holds
+// one key per line and is reloaded when it changes, so keys are rotated without a
+// restart: add the new key as the second line everywhere, then move it to the
+// first line, then remove the old key.
 package secret
 
 import (
@@ -16,39 +16,39 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// ErrNoKey means that a key file holds no key.
-var ErrNoKey = errors.New("key file holds no key")
+// ErrNoKey is returned for a key file that is empty or contains a short key.
+var ErrNoKey = errors.New("key file holds no usable key")
 
-// minKeyBytes keeps guessable keys out.
+// minKeyBytes is the minimum length of a key, which keeps out guessable keys.
 const minKeyBytes = 16
 
-// checkEveryMs is how often a file is looked at.
-const checkEveryMs = clock.Second
+// checkIntervalMs is the minimum time between two checks of a key file.
+const checkIntervalMs = clock.Second
 
-// Keys are the keys of one file. They are safe for concurrent use.
+// Keys holds the keys of one file. It is safe for concurrent use.
 type Keys struct {
 	path string
 	now  func() clock.Millis
 
 	mu        sync.Mutex
 	keys      []string
-	modified  time.Time
+	modTime   time.Time
 	checkedMs clock.Millis
 }
 
-// Load reads a key file.
+// Load loads a key file. The function now returns the current time.
 func Load(path string, now func() clock.Millis) (*Keys, error) {
 	k := &Keys{path: path, now: now}
-	if err := k.read(); err != nil {
+	if err := k.load(); err != nil {
 		return nil, err
 	}
 	return k, nil
 }
 
-// Fixed returns keys that come from no file.
+// Fixed returns keys that are not loaded from a file.
 func Fixed(keys ...string) *Keys { return &Keys{keys: keys} }
 
-func (k *Keys) read() error {
+func (k *Keys) load() error {
 	data, err := os.ReadFile(k.path)
 	if err != nil {
 		return fmt.Errorf("key file: %w", err)
@@ -67,25 +67,25 @@
 		}
 	}
 	k.keys = keys
-	k.modified = info.ModTime()
+	k.modTime = info.ModTime()
 	return nil
 }
 
-// refresh reads the file again when it has changed. A file that can't be read
-// leaves the old keys in force.
+// refresh reloads the file if it has changed. If the file cannot be loaded, the
+// previous keys stay in use.
 func (k *Keys) refresh() {
-	if k.path == "" || k.now() < k.checkedMs+checkEveryMs {
+	if k.path == "" || k.now() < k.checkedMs+checkIntervalMs {
 		return
 	}
 	k.checkedMs = k.now()
 	info, err := os.Stat(k.path)
-	if err != nil || info.ModTime().Equal(k.modified) {
+	if err != nil || info.ModTime().Equal(k.modTime) {
 		return
 	}
-	_ = k.read()
+	_ = k.load()
 }
 
-// Current returns the key that this process sends.
+// Current returns the key that this process sends, which is the first of the file.
 func (k *Keys) Current() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -93,7 +93,7 @@
 	return k.keys[0]
 }
 
-// All returns every key that is accepted.
+// All returns all keys that are accepted.
 func (k *Keys) All() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -101,7 +101,8 @@
 	return append([]string(nil), k.keys...)
 }
 
-// Accept reports whether a key is one of them, in constant time for each.
+// Accept reports whether a key is among the accepted keys. Each comparison takes
+// constant time.
 func (k *Keys) Accept(key string) bool {
 	accepted := 0
 	for _, known := range k.All() {
