--- a/internal/namekey/namekey.go
+++ b/internal/namekey/namekey.go
@@ -1,11 +1,11 @@
-// Package namekey shortens names in what boxes tell each other often.
+// Package namekey maps names to short hashes for messages that boxes exchange often.
 package namekey
 
 import "dooryard.example/dooryard/internal/route"
 
-// Key stands for a name: the ID of an upstream or of a part of a prompt. Two names with
-// one key are rare; whoever uses keys must bear that.
+// Key is a 32-bit hash that represents a name: the ID of an upstream or of a part of a
+// prompt. Collisions are rare, but users of keys must tolerate them.
 type Key uint32
 
-// Of returns a name's key.
+// Of returns the key of a name.
 func Of(name string) Key { return Key(route.HashName(name)) }
