--- a/internal/tablefile/tablefile.go
+++ b/internal/tablefile/tablefile.go
@@ -20,7 +20,7 @@
 )
 
 // ErrMalformed is returned for a file that cannot be used. The message names the
-// position of the fault.
+// line and the column.
 var ErrMalformed = errors.New("malformed table file")
 
 // File is the content of a table file.
--- a/internal/tablefile/tablefile_test.go
+++ b/internal/tablefile/tablefile_test.go
@@ -70,16 +70,16 @@
 }
 
 func TestImportAfterOthersEdited(t *testing.T) {
-	_, old := applyEdits(t, firstEdit())
-	file := FromTable(old.Table)
-	_, now := applyEdits(t, firstEdit(), []table.Change{change("m", "deadline_ms", "150", 1)})
+	_, exported := applyEdits(t, firstEdit())
+	file := FromTable(exported.Table)
+	_, current := applyEdits(t, firstEdit(), []table.Change{change("m", "deadline_ms", "150", 1)})
 	t.Run("skips cells that only they changed", func(t *testing.T) {
-		assert.Empty(t, Changes(file, now, false))
+		assert.Empty(t, Changes(file, current, false))
 	})
 	t.Run("conflicts on cells that both changed", func(t *testing.T) {
-		file := FromTable(old.Table)
+		file := FromTable(exported.Table)
 		file.Sheets[table.Models]["m"]["deadline_ms"] = "111"
-		changes := Changes(file, now, false)
+		changes := Changes(file, current, false)
 		require.Len(t, changes, 1)
 		state, _ := applyEdits(t, firstEdit(), []table.Change{change("m", "deadline_ms", "150", 1)})
 		data, err := json.Marshal(table.Edit{ID: "z", Changes: changes})
@@ -89,10 +89,10 @@
 		assert.Equal(t, "150", verdict.Issues[0].Current)
 	})
 	t.Run("removes rows only if prune is set", func(t *testing.T) {
-		file := FromTable(old.Table)
+		file := FromTable(exported.Table)
 		delete(file.Sheets[table.Models], "n")
-		assert.Empty(t, Changes(file, old, false))
-		changes := Changes(file, old, true)
+		assert.Empty(t, Changes(file, exported, false))
+		changes := Changes(file, exported, true)
 		require.Len(t, changes, 1)
 		assert.True(t, changes[0].Remove)
 	})
