--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,7 @@
 // Package snapshot splits a table into chunks for the platform's log and assembles
 // them again. Applying edits is deterministic, so two boxes create the same chunks
-// for the same offset. Different hashes mean that their tables diverged.
+// for the same offset. Different hashes for one offset mean that their tables
+// diverged, which must raise an alarm.
 package snapshot
 
 import (
