--- a/internal/testlib/certificate.go
+++ b/internal/testlib/certificate.go
@@ -18,8 +18,8 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// WriteCertificate writes a self-signed certificate for 127.0.0.1 with a serial
-// number. Its dates span the fake clocks of test bubbles too.
+// WriteCertificate writes a self-signed certificate for 127.0.0.1 with the given serial number, and its private key.
+// The validity period also covers the fake clock of testing/synctest bubbles.
 func WriteCertificate(t *testing.T, files config.TLS, serial int64) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/internal/testlib/network.go
+++ b/internal/testlib/network.go
@@ -1,5 +1,5 @@
-// Package testlib holds what several tests share: a network in memory, whose
-// hosts can be cut off from each other, and shared assertions.
+// Package testlib provides helpers shared by the tests of several packages: an in-memory network with fault injection,
+// TLS certificates, and a fixed seed for property-based tests.
 package testlib
 
 import (
@@ -12,140 +12,140 @@
 	"time"
 )
 
-// Errors of the network.
+// Dial errors of the network.
 var (
-	errRefused = &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
-	errCut     = &net.OpError{Op: "dial", Err: syscall.EHOSTUNREACH}
+	errRefused     = &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
+	errUnreachable = &net.OpError{Op: "dial", Err: syscall.EHOSTUNREACH}
 )
 
-// Network is a network in memory. Its connections block in ways that
-// testing/synctest understands, so that tests run on a fake clock.
+// Network is an in-memory network. Its operations block durably in the sense of testing/synctest, so that tests can run
+// on a fake clock.
 type Network struct {
-	mu        sync.Mutex
-	port      int
-	listeners map[string]*listener
-	packets   map[string]*packetConn
-	owners    map[string]string
-	cut       func(from, to string) bool
-	delay     func(from, to string) time.Duration
-	lag       func(from, to string) time.Duration
-	lose      func() bool
-	silent    func(from, to string) bool
-	conns     map[*conn]struct{}
+	mu            sync.Mutex
+	port          int
+	listeners     map[string]*listener
+	packets       map[string]*packetConn
+	hostByAddress map[string]string
+	partitioned   func(from, to string) bool
+	dialDelay     func(from, to string) time.Duration
+	packetDelay   func(from, to string) time.Duration
+	dropPacket    func() bool
+	blackholed    func(from, to string) bool
+	conns         map[*conn]struct{}
 }
 
 // NewNetwork returns a network without hosts.
 func NewNetwork() *Network {
 	return &Network{
 		port: firstPort, listeners: map[string]*listener{}, packets: map[string]*packetConn{},
-		owners: map[string]string{}, conns: map[*conn]struct{}{},
-		delay:  func(string, string) time.Duration { return 0 },
-		lag:    func(string, string) time.Duration { return 0 },
-		silent: func(string, string) bool { return false },
-		cut:    func(string, string) bool { return false }, lose: func() bool { return false },
+		hostByAddress: map[string]string{}, conns: map[*conn]struct{}{},
+		dialDelay:   func(string, string) time.Duration { return 0 },
+		packetDelay: func(string, string) time.Duration { return 0 },
+		blackholed:  func(string, string) bool { return false },
+		partitioned: func(string, string) bool { return false }, dropPacket: func() bool { return false },
 	}
 }
 
 const firstPort = 20_000
 
-// SetCut cuts hosts off from each other: connections between them break, new
-// ones fail and datagrams are lost.
-func (n *Network) SetCut(cut func(from, to string) bool) {
+// SetCut partitions the network: for each direction in which the function returns true, new connections fail and
+// datagrams are dropped. Existing connections are closed if either of their directions is cut.
+func (n *Network) SetCut(partitioned func(from, to string) bool) {
 	n.mu.Lock()
-	n.cut = cut
-	broken := []*conn{}
+	n.partitioned = partitioned
+	severed := []*conn{}
 	for c := range n.conns {
-		if cut(c.from, c.to) || cut(c.to, c.from) {
-			broken = append(broken, c)
+		if partitioned(c.from, c.to) || partitioned(c.to, c.from) {
+			severed = append(severed, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range broken {
+	for _, c := range severed {
 		_ = c.Close()
 	}
 }
 
-// SetSilent loses without a word what one host sends to another: writes seem to work,
-// connections don't open, datagrams are lost.
-func (n *Network) SetSilent(silent func(from, to string) bool) {
+// SetSilent silently drops traffic in the directions for which the function returns true: writes appear to succeed,
+// connections don't open, and datagrams are dropped.
+func (n *Network) SetSilent(blackholed func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.silent = silent
+	n.blackholed = blackholed
 }
 
-func (n *Network) isSilent(from, to string) bool {
+func (n *Network) isBlackholed(from, to string) bool {
 	n.mu.Lock()
-	silent := n.silent
+	blackholed := n.blackholed
 	n.mu.Unlock()
-	return silent(from, to)
+	return blackholed(from, to)
 }
 
-// SetDialDelay lets connections from one host to another open only after a span,
-// whatever the caller's patience, as a host that is paused meanwhile would see it.
+// SetDialDelay delays the opening of connections from one host to another. The delay ignores the caller's deadline, as
+// if the dialing host were paused.
 func (n *Network) SetDialDelay(delay func(from, to string) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.delay = delay
+	n.dialDelay = delay
 }
 
-// SetPacketDelay lets datagrams from one host to another arrive only after a span, in the
-// order in which they were sent as long as the span stays.
-func (n *Network) SetPacketDelay(lag func(from, to string) time.Duration) {
+// SetPacketDelay delays the delivery of datagrams from one host to another. Datagrams keep their order as long as the
+// delay doesn't change.
+func (n *Network) SetPacketDelay(packetDelay func(from, to string) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lag = lag
+	n.packetDelay = packetDelay
 }
 
-// SetLoss loses datagrams for which the function returns true.
-func (n *Network) SetLoss(lose func() bool) {
+// SetLoss sets a function that is called for each datagram; the datagram is dropped if the function returns true.
+func (n *Network) SetLoss(dropPacket func() bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lose = lose
+	n.dropPacket = dropPacket
 }
 
-// Host is one machine on the network.
+// Host is one host of the network.
 type Host struct {
 	network *Network
 	name    string
 }
 
-// Host returns the machine with a name.
+// Host returns the host with the given name.
 func (n *Network) Host(name string) Host { return Host{network: n, name: name} }
 
-func (n *Network) claim(address, owner string) string {
+func (n *Network) bind(address, owner string) string {
 	if address == "127.0.0.1:0" {
 		n.port++
 		address = fmt.Sprintf("127.0.0.1:%d", n.port)
 	}
-	n.owners[address] = owner
+	n.hostByAddress[address] = owner
 	return address
 }
 
-// Listen opens a listener.
+// Listen opens a listener on the address. Port 0 assigns a new port.
 func (h Host) Listen(_, address string) (net.Listener, error) {
 	n := h.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	address = n.claim(address, h.name)
+	address = n.bind(address, h.name)
 	l := &listener{network: n, address: addr(address), accept: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l, nil
 }
 
-// Dial opens a connection.
+// Dial opens a connection to the address.
 func (h Host) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n := h.network
 	n.mu.Lock()
-	l, owner, cut, delay := n.listeners[address], n.owners[address], n.cut, n.delay
+	l, owner, partitioned, dialDelay := n.listeners[address], n.hostByAddress[address], n.partitioned, n.dialDelay
 	n.mu.Unlock()
-	if span := delay(h.name, owner); span > 0 {
-		time.Sleep(span)
+	if wait := dialDelay(h.name, owner); wait > 0 {
+		time.Sleep(wait)
 	}
-	if n.isSilent(h.name, owner) || n.isSilent(owner, h.name) {
-		return nil, hang(ctx)
+	if n.isBlackholed(h.name, owner) || n.isBlackholed(owner, h.name) {
+		return nil, waitDialTimeout(ctx)
 	}
-	if cut(h.name, owner) {
-		return nil, errCut
+	if partitioned(h.name, owner) {
+		return nil, errUnreachable
 	}
 	if l == nil {
 		return nil, errRefused
@@ -166,25 +166,25 @@
 	}
 }
 
-// hangs is how long a connection tries to open that nobody answers.
-const hangs = 2 * time.Second
+// unansweredDialTimeout is the time after which a dial fails that gets no answer.
+const unansweredDialTimeout = 2 * time.Second
 
-// hang waits until nobody can have answered.
-func hang(ctx context.Context) error {
+// waitDialTimeout blocks until an unanswered dial times out.
+func waitDialTimeout(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(hangs):
+	case <-time.After(unansweredDialTimeout):
 		return os.ErrDeadlineExceeded
 	}
 }
 
-// ListenPackets opens a socket for datagrams.
+// ListenPackets opens a datagram socket on the address. Port 0 assigns a new port.
 func (h Host) ListenPackets(_, address string) (net.PacketConn, error) {
 	n := h.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	address = n.claim(address, h.name)
+	address = n.bind(address, h.name)
 	p := &packetConn{
 		network: n, host: h.name, address: addr(address),
 		inbox: make(chan packet, inboxPackets), closed: make(chan struct{}),
@@ -242,7 +242,7 @@
 func (c *conn) RemoteAddr() net.Addr { return c.remote }
 
 func (c *conn) Write(data []byte) (int, error) {
-	if c.network.isSilent(c.from, c.to) {
+	if c.network.isBlackholed(c.from, c.to) {
 		return len(data), nil
 	}
 	return c.Conn.Write(data)
@@ -282,23 +282,23 @@
 	n := p.network
 	n.mu.Lock()
 	target := n.packets[to.String()]
-	lost := target == nil || n.cut(p.host, target.host) || n.silent(p.host, target.host) || n.lose()
-	lag := n.lag
+	dropped := target == nil || n.partitioned(p.host, target.host) || n.blackholed(p.host, target.host) || n.dropPacket()
+	packetDelay := n.packetDelay
 	n.mu.Unlock()
-	if lost {
+	if dropped {
 		return len(data), nil
 	}
 	sent := packet{from: p.address, data: append([]byte(nil), data...)}
-	if span := lag(p.host, target.host); span > 0 {
-		time.AfterFunc(span, func() { target.put(sent) })
+	if wait := packetDelay(p.host, target.host); wait > 0 {
+		time.AfterFunc(wait, func() { target.enqueue(sent) })
 		return len(data), nil
 	}
-	target.put(sent)
+	target.enqueue(sent)
 	return len(data), nil
 }
 
-// put hands a datagram over, or loses it when too many wait.
-func (p *packetConn) put(sent packet) {
+// enqueue delivers a datagram to the inbox, or drops it if the inbox is full.
+func (p *packetConn) enqueue(sent packet) {
 	select {
 	case p.inbox <- sent:
 	default:
--- a/internal/testlib/rapid.go
+++ b/internal/testlib/rapid.go
@@ -2,13 +2,12 @@
 
 import "flag"
 
-// SeedRapid fixes the seed of random histories, so that every run of the tests
-// draws the same; -rapid.seed on the command line draws others. Call it in
-// TestMain, before the tests run.
+// SeedRapid fixes the seed of property-based tests, so that every test run generates the same inputs. The
+// command-line flag -rapid.seed overrides the seed. SeedRapid must be called in TestMain, before the tests run.
 func SeedRapid() {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed != nil && seed.Value.String() == "0" {
-		// The flag takes any number.
+		// Set can't fail: the flag accepts any number.
 		_ = flag.Set("rapid.seed", "1")
 	}
 }
