--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -1,6 +1,5 @@
-// Package localfleet starts a whole small fleet in one process: a platform,
-// engines, plain services and boxes in failure domains, on loopback addresses.
-// The demo, the load tool and tests use it.
+// Package localfleet starts a small but complete fleet in one process: a platform, engines, plain services and boxes in
+// failure domains, on loopback addresses. The demo, the load generator and tests use it.
 package localfleet
 
 import (
@@ -30,34 +29,34 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// Names that every local fleet uses.
+// Names of the model and the plain service of every local fleet.
 const (
 	Model       = "planner"
 	ServiceName = "rota"
 )
 
-// Plan says what a fleet consists of.
+// Plan describes the fleet to start.
 type Plan struct {
-	// Domains are the failure domains; each gets the counts below.
+	// Domains are the names of the failure domains. The counts below apply to each of them.
 	Domains          []string
 	BoxesPerDomain   int
 	EnginesPerDomain int
 	ServersPerDomain int
 	Organisations    []Organisation
 	Speed            standin.EngineSpeed
-	// Settings changes the settings of each box before it starts.
+	// Settings, if set, modifies the settings of each box before it starts.
 	Settings func(settings *config.Router)
-	// BoxListLagMs is the age of the platform's list of boxes.
+	// BoxListLagMs is the time by which the platform's box list lags behind.
 	BoxListLagMs clock.Millis
 }
 
-// Organisation is one organisation of a plan. Empty columns keep the defaults.
+// Organisation is an organisation of a plan. Columns that are not set keep their defaults.
 type Organisation struct {
 	Name    string
 	Columns map[string]string
 }
 
-// CallerKey returns the bearer key of an organisation.
+// CallerKey returns the bearer key that callers of an organisation use.
 func CallerKey(organisation string) string { return "caller-key-of-" + organisation }
 
 // Fleet is a running fleet.
@@ -69,23 +68,23 @@
 	clock   clock.Clock
 	logger  *zap.Logger
 	network func(host string) Network
-	// beforeBoxes runs once the platform and the upstreams are there.
+	// beforeBoxes runs when the platform and the upstreams are up, before the first box starts.
 	beforeBoxes func(f *Fleet)
 	keyDir      string
 	client      *http.Client
 
-	mu       sync.Mutex
-	servers  []*http.Server
-	engines  []*EngineProcess
-	services []*ServiceProcess
-	boxes    []*BoxProcess
-	address  string
-	running  sync.WaitGroup
-	ctx      context.Context
-	cancel   context.CancelFunc
+	mu              sync.Mutex
+	servers         []*http.Server
+	engines         []*EngineProcess
+	services        []*ServiceProcess
+	boxes           []*BoxProcess
+	platformAddress string
+	running         sync.WaitGroup
+	ctx             context.Context
+	cancel          context.CancelFunc
 }
 
-// EngineProcess is one engine and where it listens.
+// EngineProcess is a running engine and its address.
 type EngineProcess struct {
 	*standin.Engine
 	Name    string
@@ -94,10 +93,10 @@
 	server  *http.Server
 }
 
-// Kill breaks the engine's connections and stops listening.
+// Kill closes the engine's listener and all its connections.
 func (p *EngineProcess) Kill() { _ = p.server.Close() }
 
-// ServiceProcess is one server of a plain service.
+// ServiceProcess is a running server of the plain service and its address.
 type ServiceProcess struct {
 	*standin.Server
 	Name    string
@@ -106,7 +105,7 @@
 	server  *http.Server
 }
 
-// BoxProcess is one box.
+// BoxProcess is a running box.
 type BoxProcess struct {
 	*box.Box
 	Name     string
@@ -115,10 +114,10 @@
 	done     chan error
 }
 
-// Wait returns what the box's Run returned.
+// Wait waits until the box has stopped and returns the error of its Run. It must be called at most once.
 func (p *BoxProcess) Wait() error { return <-p.done }
 
-// Option changes a Fleet under construction.
+// Option configures a Fleet.
 type Option func(*Fleet)
 
 // WithClock replaces the system clock.
@@ -127,7 +126,7 @@
 // WithLogger sets the logger of the boxes.
 func WithLogger(logger *zap.Logger) Option { return func(f *Fleet) { f.logger = logger } }
 
-// Network is one host's way to the others.
+// Network holds the functions by which a host listens and dials.
 type Network struct {
 	Listen  server.Listen
 	Packets box.ListenPackets
@@ -140,13 +139,13 @@
 	HostCallers  = "callers"
 )
 
-// WithNetwork replaces the network; the function is asked once for each host.
+// WithNetwork replaces the loopback network. The function is called once for each host.
 func WithNetwork(network func(host string) Network) Option {
 	return func(f *Fleet) { f.network = network }
 }
 
-// WithBeforeBoxes sets a function that runs before the first box starts, as to have the
-// platform away then.
+// WithBeforeBoxes sets a function that runs before the first box starts, for example to simulate a platform outage at
+// that time.
 func WithBeforeBoxes(call func(f *Fleet)) Option { return func(f *Fleet) { f.beforeBoxes = call } }
 
 func loopback(string) Network {
@@ -158,7 +157,7 @@
 	maxIdlePerHost = 256
 )
 
-// Start starts a fleet and waits until every box has the table. Stop ends it.
+// Start starts a fleet and waits until every box has read the table. Stop must be called to release its resources.
 func Start(ctx context.Context, plan Plan, options ...Option) (*Fleet, error) {
 	f := &Fleet{
 		Ledger: standin.NewRunLedger(), plan: plan, clock: clock.New(), logger: zap.NewNop(), network: loopback,
@@ -182,7 +181,7 @@
 func (f *Fleet) makeKeys() error {
 	dir, err := os.MkdirTemp("", "dooryard-keys-")
 	if err != nil {
-		return fmt.Errorf("key directory: %w", err)
+		return fmt.Errorf("create key directory: %w", err)
 	}
 	f.keyDir = dir
 	for _, name := range []string{"peers", "operators"} {
@@ -190,7 +189,7 @@
 		// rand.Read never fails.
 		_, _ = rand.Read(key)
 		if err := os.WriteFile(f.keyFile(name), []byte(hex.EncodeToString(key)), 0o600); err != nil {
-			return fmt.Errorf("key file: %w", err)
+			return fmt.Errorf("write key file: %w", err)
 		}
 	}
 	return nil
@@ -198,7 +197,7 @@
 
 func (f *Fleet) keyFile(name string) string { return filepath.Join(f.keyDir, name) }
 
-// OperatorsKeyFile returns the file of the operators' key.
+// OperatorsKeyFile returns the path of the file that holds the operators' key.
 func (f *Fleet) OperatorsKeyFile() string { return f.keyFile("operators") }
 
 // OperatorsKey returns the operators' key.
@@ -233,7 +232,7 @@
 		standin.NewBoxes(f.clock, f.plan.BoxListLagMs),
 	)
 	var err error
-	_, f.address, err = f.serve(HostPlatform, f.Platform)
+	_, f.platformAddress, err = f.serve(HostPlatform, f.Platform)
 	return err
 }
 
@@ -277,7 +276,7 @@
 	return nil
 }
 
-// writeTable appends the edit that fills the table.
+// writeTable appends the edit that creates the initial table to the platform's log.
 func (f *Fleet) writeTable() error {
 	edit := table.Edit{ID: "first-table", Operator: "localfleet"}
 	set := func(sheet, row, column, value string) {
@@ -304,7 +303,7 @@
 	}
 	data, err := json.Marshal(edit)
 	if err != nil {
-		return fmt.Errorf("encode first table: %w", err)
+		return fmt.Errorf("encode initial table: %w", err)
 	}
 	f.Platform.Log.Append(tablestore.Stream, data)
 	return nil
@@ -326,7 +325,7 @@
 	return f.waitForTable()
 }
 
-// waitForTable waits until all boxes hold the first table.
+// waitForTable waits until all boxes have read the initial table.
 func (f *Fleet) waitForTable() error {
 	ctx, cancel := context.WithTimeout(f.ctx, (10 * clock.Second).Duration())
 	defer cancel()
@@ -338,7 +337,7 @@
 	return nil
 }
 
-// StartBox starts one more box and tells the platform's list of it.
+// StartBox starts another box and adds it to the platform's box list.
 func (f *Fleet) StartBox(domain, name string) (*BoxProcess, error) {
 	settings := f.boxSettings(domain, name)
 	if f.plan.Settings != nil {
@@ -358,7 +357,8 @@
 			GossipAddress: anyPort,
 		},
 		Platform: config.Platform{
-			LogURL: "http://" + f.address, WeightStoreURL: "http://" + f.address, BoxListURL: "http://" + f.address,
+			LogURL: "http://" + f.platformAddress, WeightStoreURL: "http://" + f.platformAddress,
+			BoxListURL: "http://" + f.platformAddress,
 		},
 		Stop: config.Stop{AnnounceMs: 200},
 	}
@@ -383,7 +383,7 @@
 	return process, nil
 }
 
-// list tells the platform's list of a box.
+// list adds a box to the platform's box list, or replaces its entry.
 func (f *Fleet) list(p *BoxProcess, state backing.BoxState) {
 	addresses := p.Addresses()
 	f.Platform.Boxes.Set(func(list *backing.BoxListReply) {
@@ -397,7 +397,7 @@
 	})
 }
 
-// Boxes returns the boxes, killed and drained ones included.
+// Boxes returns the boxes, including killed and drained ones.
 func (f *Fleet) Boxes() []*BoxProcess {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -410,13 +410,13 @@
 // Services returns the servers of the plain service.
 func (f *Fleet) Services() []*ServiceProcess { return f.services }
 
-// Client returns an HTTP client on the fleet's network.
+// Client returns an HTTP client that dials from the host HostCallers.
 func (f *Fleet) Client() *http.Client { return f.client }
 
 // PlatformURL returns the URL of the platform.
-func (f *Fleet) PlatformURL() string { return "http://" + f.address }
+func (f *Fleet) PlatformURL() string { return "http://" + f.platformAddress }
 
-// Stop ends everything and removes the keys.
+// Stop stops all processes of the fleet and removes the key files.
 func (f *Fleet) Stop() error {
 	for _, b := range f.Boxes() {
 		b.Kill()
@@ -436,7 +436,7 @@
 		return nil
 	}
 	if err := os.RemoveAll(f.keyDir); err != nil {
-		return fmt.Errorf("remove keys: %w", err)
+		return fmt.Errorf("remove key directory: %w", err)
 	}
 	return nil
 }
--- a/internal/localfleet/histories_test.go
+++ b/internal/localfleet/histories_test.go
@@ -18,31 +18,31 @@
 	"dooryard.example/dooryard/internal/standin"
 )
 
-// history is one run of unrepeatable calls, some under the same key, through
-// boxes that fail, with what each caller was told.
+// history is a run of non-idempotent requests, some with the same key, through boxes under faults. It records what
+// callers got.
 type history struct {
-	*trial
-	random *rand.Rand
-	mu     sync.Mutex
-	told   map[string][]load.Result
-	faults []string
+	*testFleet
+	random   *rand.Rand
+	mu       sync.Mutex
+	outcomes map[string][]load.Result
+	faults   []string
 }
 
 const (
-	historyKeys    = 6
-	historyCalls   = 4
-	historyFaults  = 6
-	historySpanMs  = 12_000
-	historyNumbers = 40
+	historyKeys      = 6
+	historyCalls     = 4
+	historyFaults    = 6
+	historySpanMs    = 12_000
+	defaultHistories = 40
 )
 
-// faultNames are what may happen; two or more may hold at once.
+// faultNames are the faults to inject. Several may be active at the same time.
 var faultNames = []string{
 	"log down", "log up", "lose replies", "drop answers", "answer again", "slow service",
 	"cut a box from the platform", "cut boxes from each other", "heal", "kill a box",
 }
 
-func (h *history) fault(name string, drawn int) {
+func (h *history) injectFault(name string, parameter int) {
 	h.faults = append(h.faults, name)
 	server := h.Services()[0]
 	switch name {
@@ -53,9 +53,9 @@
 	case "drop answers", "answer again":
 		server.SetFaults(func(f *standin.ServerFaults) { f.DropAnswer = name == "drop answers" })
 	case "slow service":
-		server.SetFaults(func(f *standin.ServerFaults) { f.DelayMs = clock.Millis(drawn % 3000) })
+		server.SetFaults(func(f *standin.ServerFaults) { f.DelayMs = clock.Millis(parameter % 3000) })
 	case "cut a box from the platform":
-		box := h.Boxes()[drawn%3].Name
+		box := h.Boxes()[parameter%3].Name
 		h.network.SetCut(func(from, to string) bool { return from == box && to == localfleet.HostPlatform })
 	case "cut boxes from each other":
 		h.network.SetCut(func(from, to string) bool {
@@ -72,10 +72,10 @@
 	result := h.file(box, key)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.told[key] = append(h.told[key], result)
+	h.outcomes[key] = append(h.outcomes[key], result)
 }
 
-// play draws calls and faults over some seconds, and then lets all end.
+// play sends requests and injects faults at random times, and then waits until all have ended.
 func (h *history) play() {
 	group := sync.WaitGroup{}
 	for number := range historyKeys * historyCalls {
@@ -88,62 +88,62 @@
 	}
 	for range historyFaults {
 		at, name := clock.Millis(h.random.IntN(historySpanMs)), faultNames[h.random.IntN(len(faultNames))]
-		drawn := h.random.IntN(historySpanMs)
+		parameter := h.random.IntN(historySpanMs)
 		group.Go(func() {
 			h.wait(at)
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.fault(name, drawn)
+			h.injectFault(name, parameter)
 		})
 	}
 	group.Wait()
 	h.wait(10_000)
 }
 
-// check compares what callers were told with what ran.
+// check compares the results that callers got with the number of runs at the server.
 func (h *history) check(seed int) {
-	for key, results := range h.told {
+	for key, results := range h.outcomes {
 		runs := h.Ledger.Runs(key)
 		assert.LessOrEqual(h.t, runs, 1, "seed %d, %s, faults %v", seed, key, h.faults)
-		whole, notRun := 0, 0
+		completed, notRun := 0, 0
 		for _, r := range results {
-			whole += boolInt(r.Verdict == load.Whole)
+			completed += boolInt(r.Verdict == load.Whole)
 			notRun += boolInt(r.Outcome == exchange.NotRun)
 			assert.NotEqual(h.t, load.Crossed, r.Verdict)
 			assert.NotEqual(h.t, load.CutAsWhole, r.Verdict)
 		}
-		if whole > 0 {
-			assert.Equal(h.t, 1, runs, "seed %d, %s was answered, faults %v", seed, key, h.faults)
+		if completed > 0 {
+			assert.Equal(h.t, 1, runs, "seed %d, %s got a complete answer, faults %v", seed, key, h.faults)
 		}
 		if notRun == len(results) {
-			assert.Zero(h.t, runs, "seed %d, %s was told not-run by all, faults %v", seed, key, h.faults)
+			assert.Zero(h.t, runs, "seed %d, %s got only the outcome not-run, faults %v", seed, key, h.faults)
 		}
 	}
 }
 
-// TestRandomHistories plays seeded histories of faults, two and more at once.
-// DOORYARD_HISTORIES sets how many, for longer runs.
+// TestRandomHistories runs seeded random histories in which several faults may be active at the same time. The
+// environment variable DOORYARD_HISTORIES sets the number of histories, for longer runs.
 func TestRandomHistories(t *testing.T) {
-	count := historyNumbers
+	count := defaultHistories
 	if more, err := strconv.Atoi(os.Getenv("DOORYARD_HISTORIES")); err == nil {
 		count = more
 	}
-	requests, told := 0, map[exchange.Outcome]int{}
+	requests, outcomes := 0, map[exchange.Outcome]int{}
 	for seed := range count {
-		run(t, func(tr *trial) {
-			tr.wait(3000)
+		run(t, func(tf *testFleet) {
+			tf.wait(3000)
 			h := &history{
-				trial: tr, random: rand.New(rand.NewPCG(uint64(seed), 1)), told: map[string][]load.Result{},
+				testFleet: tf, random: rand.New(rand.NewPCG(uint64(seed), 1)), outcomes: map[string][]load.Result{},
 			}
 			h.play()
 			h.check(seed)
-			for _, results := range h.told {
+			for _, results := range h.outcomes {
 				for _, r := range results {
 					requests++
-					told[r.Outcome]++
+					outcomes[r.Outcome]++
 				}
 			}
 		}, withBoxes(3))
 	}
-	t.Logf("%d histories, %d requests, told %v", count, requests, told)
+	t.Logf("%d histories, %d requests, outcomes %v", count, requests, outcomes)
 }
