--- a/internal/localfleet/histories_test.go
+++ b/internal/localfleet/histories_test.go
@@ -38,8 +38,8 @@
 
 // faultNames are the faults to inject. Several may be active at the same time.
 var faultNames = []string{
-	"log down", "log up", "lose replies", "drop answers", "answer again", "slow service",
-	"cut a box from the platform", "cut boxes from each other", "heal", "kill a box",
+	"log down", "log up", "drop log replies", "drop answers", "stop dropping answers", "delay answers",
+	"partition a box from the platform", "partition boxes from each other", "heal partitions", "kill a box",
 }
 
 func (h *history) injectFault(name string, parameter int) {
@@ -48,20 +48,20 @@
 	switch name {
 	case "log down", "log up":
 		h.Platform.Log.SetFaults(func(f *standin.LogFaults) { f.Down = name == "log down" })
-	case "lose replies":
+	case "drop log replies":
 		h.Platform.Log.SetFaults(func(f *standin.LogFaults) { f.LoseReplies = 3 })
-	case "drop answers", "answer again":
+	case "drop answers", "stop dropping answers":
 		server.SetFaults(func(f *standin.ServerFaults) { f.DropAnswer = name == "drop answers" })
-	case "slow service":
+	case "delay answers":
 		server.SetFaults(func(f *standin.ServerFaults) { f.DelayMs = clock.Millis(parameter % 3000) })
-	case "cut a box from the platform":
+	case "partition a box from the platform":
 		box := h.Boxes()[parameter%3].Name
 		h.network.SetCut(func(from, to string) bool { return from == box && to == localfleet.HostPlatform })
-	case "cut boxes from each other":
+	case "partition boxes from each other":
 		h.network.SetCut(func(from, to string) bool {
 			return strings.Contains(from, "-box-") && strings.Contains(to, "-box-")
 		})
-	case "heal":
+	case "heal partitions":
 		h.network.SetCut(func(string, string) bool { return false })
 	case "kill a box":
 		h.Boxes()[0].Kill()
--- a/internal/routebench/cache.go
+++ b/internal/routebench/cache.go
@@ -6,7 +6,8 @@
 	"dooryard.example/dooryard/internal/route"
 )
 
-// sessionCache remembers the prompts of the most recently used sessions.
+// sessionCache is an LRU cache of session prompts. It models the prefix cache of an engine and is limited by the number
+// of tokens.
 type sessionCache struct {
 	tokens float64
 	limit  float64
@@ -19,44 +20,44 @@
 	tokens float64
 }
 
-// newSessionCache holds the longest prompts of this many sessions.
+// newSessionCache returns a cache that can hold the longest prompts of the given number of sessions.
 func newSessionCache(sessions int) *sessionCache {
 	return &sessionCache{
 		limit: float64(sessions * turnTokens * turns), byKey: map[route.Key]*list.Element{}, recent: list.New(),
 	}
 }
 
-// warm returns how many tokens of a session are held.
-func (c *sessionCache) warm(key route.Key) float64 {
+// cachedTokens returns the number of cached tokens of a session.
+func (c *sessionCache) cachedTokens(key route.Key) float64 {
 	if element, found := c.byKey[key]; found {
-		held, _ := element.Value.(*cachedSession)
-		return held.tokens
+		entry, _ := element.Value.(*cachedSession)
+		return entry.tokens
 	}
 	return 0
 }
 
-// use returns how many tokens were warm and makes the whole prompt warm.
+// use returns the number of tokens of a session that were cached, and then caches the whole prompt.
 func (c *sessionCache) use(key route.Key, tokens float64) float64 {
-	was := c.warm(key)
+	before := c.cachedTokens(key)
 	if element, found := c.byKey[key]; found {
-		held, _ := element.Value.(*cachedSession)
-		held.tokens = tokens
+		entry, _ := element.Value.(*cachedSession)
+		entry.tokens = tokens
 		c.recent.MoveToFront(element)
 	} else {
 		c.byKey[key] = c.recent.PushFront(&cachedSession{key: key, tokens: tokens})
 	}
-	c.tokens += tokens - was
+	c.tokens += tokens - before
 	c.evict()
-	return was
+	return before
 }
 
 func (c *sessionCache) evict() {
 	for c.tokens > c.limit {
 		oldest := c.recent.Back()
-		held, _ := oldest.Value.(*cachedSession)
+		entry, _ := oldest.Value.(*cachedSession)
 		c.recent.Remove(oldest)
-		delete(c.byKey, held.key)
-		c.tokens -= held.tokens
+		delete(c.byKey, entry.key)
+		c.tokens -= entry.tokens
 	}
 }
 
--- a/internal/routebench/events.go
+++ b/internal/routebench/events.go
@@ -6,23 +6,23 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// event is something that happens at an instant; events of one instant happen in
-// the order in which they were added.
+// event is a function that is called at a simulated time. Events with the same time run in the order in which they were
+// added.
 type event struct {
-	at    clock.Millis
-	order int
-	do    func()
+	at     clock.Millis
+	order  int
+	action func()
 }
 
-// events is the queue of what is to come.
+// events is the queue of pending events.
 type events struct {
 	queue eventHeap
 	order int
 }
 
-func (e *events) add(at clock.Millis, do func()) {
+func (e *events) add(at clock.Millis, action func()) {
 	e.order++
-	heap.Push(&e.queue, event{at: at, order: e.order, do: do})
+	heap.Push(&e.queue, event{at: at, order: e.order, action: action})
 }
 
 func (e *events) next() (event, bool) {
--- a/internal/routebench/grants.go
+++ b/internal/routebench/grants.go
@@ -5,11 +5,11 @@
 	"dooryard.example/dooryard/internal/route"
 )
 
-// owners are the boxes' ledgers and directories.
+// owners holds the grant ledger and the session directory of each box, for the engines that the box owns.
 type owners struct {
 	ledgers     []*grant.Ledger
 	directories []*grant.Directory
-	asks        int
+	questions   int
 	forced      int
 	news        int
 }
@@ -23,16 +23,18 @@
 	return o
 }
 
-// ownerOf is the box that owns an engine.
+// ownerOf returns the box that owns an engine.
 func (r *run) ownerOf(position int) int { return position % r.scenario.Boxes }
 
-// placeOf names an engine by its position; 0 is no place.
+// placeOf returns the place of the engine at a position. Place 0 means no place.
 func placeOf(position int) grant.Place { return grant.Place(position + 1) }
 
 func positionOf(place grant.Place) int { return int(place) - 1 }
 
 func sessionOf(s *session) grant.Session { return grant.Session(s.key) }
 
+// pickGrants searches for an engine whose owner grants the request. If no owner does, it picks the least loaded of the
+// engines that were asked for.
 func pickGrants(r *run, box int, s *session) int {
 	first, open := r.ranked(box, s)
 	search := grant.NewSearch(first, open, s.turn == 0)
@@ -41,8 +43,8 @@
 		if !more {
 			break
 		}
-		if search.Hear(question, r.ask(box, question, s)) {
-			r.tellOwner(search, question.Place, s)
+		if search.Hear(question, r.askOwner(box, question, s)) {
+			r.notifyOwner(search, question.Place, s)
 			return positionOf(question.Place)
 		}
 	}
@@ -54,10 +56,10 @@
 	return positionOf(place)
 }
 
-// rankedChoices is as many ranks as a box asks for.
+// rankedChoices is the number of ranked engines that a box considers for a grant.
 const rankedChoices = 6
 
-// ranked returns the first choice and the open places in the order of rank.
+// ranked returns the first choice of a session and the usable places in the order of their rank.
 func (r *run) ranked(box int, s *session) (first grant.Place, open []grant.Place) {
 	positions := [rankedChoices]int{}
 	v := r.views[box]
@@ -72,10 +74,11 @@
 	return first, open
 }
 
-func (r *run) ask(box int, q grant.Question, s *session) grant.Reply {
+// askOwner sends a question of a box to the owner of an engine and returns the owner's reply.
+func (r *run) askOwner(box int, q grant.Question, s *session) grant.Reply {
 	position := positionOf(q.Place)
 	owner := r.ownerOf(position)
-	r.owners.asks++
+	r.owners.questions++
 	if q.Lookup {
 		if hint, found := r.owners.directories[owner].Find(sessionOf(s)); found && hint != q.Place {
 			return grant.Reply{Hint: hint}
@@ -95,8 +98,8 @@
 	return grant.Reply{Granted: granted, Over: over}
 }
 
-// tellOwner lets the owner of the first choice know where the session went.
-func (r *run) tellOwner(search *grant.Search, place grant.Place, s *session) {
+// notifyOwner informs the owner of the session's first choice where the session was placed.
+func (r *run) notifyOwner(search *grant.Search, place grant.Place, s *session) {
 	directory := r.owners.directories[r.ownerOf(positionOf(search.First()))]
 	switch {
 	case place == search.First():
@@ -107,11 +110,11 @@
 	}
 }
 
-// hold tells an engine's owner what a box runs there.
-func (r *run) hold(box, position int) {
+// reportInFlight reports to an engine's owner how many requests a box has in flight there.
+func (r *run) reportInFlight(box, position int) {
 	if r.owners == nil {
 		return
 	}
-	held := r.views[box].Members[position].InFlight
-	r.owners.ledgers[r.ownerOf(position)].Hold(placeOf(position), grant.Box(box+1), held, r.now)
+	inFlight := r.views[box].Members[position].InFlight
+	r.owners.ledgers[r.ownerOf(position)].Hold(placeOf(position), grant.Box(box+1), inFlight, r.now)
 }
--- a/internal/routebench/history.go
+++ b/internal/routebench/history.go
@@ -1,22 +1,20 @@
 package routebench
 
-// history is the truth of the last seconds, from which reports are made, and the
-// measures of skew.
+// history holds the true loads of the last seconds, from which delayed reports are made, and the measured skew.
 type history struct {
 	scenario Scenario
 	samples  int
-	// loads and own are rings of samples: in flight by engine, and by box and
-	// engine.
-	loads [][]int
-	own   [][][]int
+	// loads and loadsByBox are ring buffers of samples of the requests in flight, by engine and by box and engine.
+	loads      [][]int
+	loadsByBox [][][]int
 
 	window                 []float64
 	inWindow               int
 	skew                   float64
 	surgeSkew, surgeExcess float64
 	excess                 float64
-	sum                    float64
-	sumCounts              int
+	meanSum                float64
+	meanCount              int
 }
 
 const windowSamples = reportMs / sampleMs
@@ -26,11 +24,11 @@
 	depth := int(scenario.ReportLagMs/sampleMs) + 1
 	for range depth {
 		h.loads = append(h.loads, make([]int, scenario.Engines))
-		own := make([][]int, scenario.Boxes)
-		for box := range own {
-			own[box] = make([]int, scenario.Engines)
+		loadsByBox := make([][]int, scenario.Boxes)
+		for box := range loadsByBox {
+			loadsByBox[box] = make([]int, scenario.Engines)
 		}
-		h.own = append(h.own, own)
+		h.loadsByBox = append(h.loadsByBox, loadsByBox)
 	}
 	return h
 }
@@ -43,7 +41,7 @@
 	}
 	for box, v := range r.views {
 		for position := range v.Members {
-			h.own[slot][box][position] = v.Members[position].InFlight
+			h.loadsByBox[slot][box][position] = v.Members[position].InFlight
 		}
 	}
 	h.samples++
@@ -53,11 +51,12 @@
 	}
 }
 
-// closeWindow compares the busiest engine of a second with the mean.
+// closeWindow ends a window of one second and compares its busiest engine with the mean of the engines that were up all
+// along.
 func (h *history) closeWindow(r *run) {
 	total, count, busiest := 0.0, 0, 0.0
 	for position, e := range r.engines {
-		if e.steady {
+		if e.stable {
 			load := h.window[position] / windowSamples
 			total += load
 			count++
@@ -76,12 +75,12 @@
 		h.surgeSkew = max(h.surgeSkew, busiest/mean)
 		h.surgeExcess = max(h.surgeExcess, busiest-mean*BoundPercent/100)
 	}
-	h.sum += mean
-	h.sumCounts++
+	h.meanSum += mean
+	h.meanCount++
 }
 
-// report hands each engine's oldest sample to all boxes, once a second, spread
-// over the second.
+// report delivers the oldest sample of each engine to all boxes once per second. The reports of different engines are
+// spread over the second.
 func (h *history) report(r *run) {
 	if h.samples < len(h.loads) {
 		return
@@ -92,7 +91,7 @@
 			continue
 		}
 		for box, v := range r.views {
-			v.Report(position, h.loads[oldest][position], h.own[oldest][box][position])
+			v.Report(position, h.loads[oldest][position], h.loadsByBox[oldest][box][position])
 		}
 	}
 }
@@ -103,14 +102,14 @@
 		Requests: r.requests, Skew: h.skew, Excess: h.excess, SurgeSkew: h.surgeSkew, SurgeExcess: h.surgeExcess,
 	}
 	if r.owners != nil {
-		result.Asks = float64(r.owners.asks) / float64(max(1, r.all))
+		result.Asks = float64(r.owners.questions) / float64(max(1, r.allRequests))
 		result.Forced = r.owners.forced
 	}
-	if r.prompt > 0 {
-		result.Reuse = r.warm / r.prompt
+	if r.promptTokens > 0 {
+		result.Reuse = r.cachedTokens / r.promptTokens
 	}
-	if r.history.sumCounts > 0 {
-		result.MeanInFlight = r.history.sum / float64(r.history.sumCounts)
+	if r.history.meanCount > 0 {
+		result.MeanInFlight = r.history.meanSum / float64(r.history.meanCount)
 	}
 	return result
 }
--- a/internal/routebench/perfect.go
+++ b/internal/routebench/perfect.go
@@ -2,12 +2,12 @@
 
 import "dooryard.example/dooryard/internal/grant"
 
-// PerfectKnowledge is the policy to compare with: it sees every cache and the
-// true load of all engines, and keeps the bound.
+// PerfectKnowledge is the name of the reference policy: it knows the contents of every cache and the true load of all
+// engines, and keeps the load bound.
 const PerfectKnowledge = "perfect-knowledge"
 
-// pickPerfect takes the engine that holds most of the session among those that
-// one more request leaves within the bound; among equals the least loaded.
+// pickPerfect picks, among the engines that stay within the load bound with one more request, the one that caches most
+// of the session. Ties go to the least loaded one. If no engine stays within the bound, it picks the least loaded one.
 func pickPerfect(r *run, _ int, s *session) int {
 	total, count := 0, 0
 	for _, e := range r.engines {
@@ -17,14 +17,14 @@
 		}
 	}
 	limit := grant.Limit(float64(total+1)/float64(count), BoundPercent)
-	best, bestWarm, bestLoad := none, -1.0, 0
+	best, bestCached, bestLoad := none, -1.0, 0
 	for position, e := range r.engines {
 		if !e.up || e.inFlight+1 > limit {
 			continue
 		}
-		warm := e.cache.warm(s.key)
-		if warm > bestWarm || warm == bestWarm && e.inFlight < bestLoad {
-			best, bestWarm, bestLoad = position, warm, e.inFlight
+		cachedTokens := e.cache.cachedTokens(s.key)
+		if cachedTokens > bestCached || cachedTokens == bestCached && e.inFlight < bestLoad {
+			best, bestCached, bestLoad = position, cachedTokens, e.inFlight
 		}
 	}
 	if best == none {
--- a/internal/routebench/routebench.go
+++ b/internal/routebench/routebench.go
@@ -1,7 +1,6 @@
-// Package routebench runs routing decisions against seeded arrivals: boxes that
-// see only their part of the traffic and old load reports, engines with limited
-// prefix caches. It calls the same policies as a box and measures what they
-// bring about; it models nothing else.
+// Package routebench simulates routing decisions under seeded random arrivals. Boxes see only their share of the
+// traffic and delayed load reports, and engines have limited prefix caches. The simulation calls the same policies as a
+// box and measures their cache reuse and load skew; it models nothing else.
 package routebench
 
 import (
@@ -12,66 +11,65 @@
 	"dooryard.example/dooryard/internal/route"
 )
 
-// Scenario is one seeded run.
+// Scenario holds the parameters of a seeded run.
 type Scenario struct {
 	Name    string `json:"name"`
 	Seed    uint64 `json:"seed"`
 	Boxes   int    `json:"boxes"`
 	Engines int    `json:"engines"`
-	// Mean is the wanted mean of requests in flight on an engine.
+	// Mean is the target mean number of requests in flight per engine.
 	Mean float64 `json:"mean"`
-	// SessionsPerEngine is how many sessions return, per engine.
+	// SessionsPerEngine is the number of returning sessions per engine.
 	SessionsPerEngine int `json:"sessions_per_engine"`
-	// CacheSessions is how many sessions' prompts an engine's cache holds.
+	// CacheSessions is the number of sessions whose longest prompts fit into an engine's cache.
 	CacheSessions int `json:"cache_sessions"`
-	// SmallCaches is how many engines have half the cache.
+	// SmallCaches is the number of engines with a cache of half the size.
 	SmallCaches int `json:"small_caches"`
-	// ReportLagMs is the age of load reports, which come once a second.
+	// ReportLagMs is the age of load reports, which arrive once per second.
 	ReportLagMs clock.Millis `json:"report_lag_ms"`
-	// LengthMs is how long requests arrive.
+	// LengthMs is the simulated time in which requests arrive.
 	LengthMs clock.Millis `json:"length_ms"`
-	// Surge multiplies arrivals by this factor in the middle third, by one
-	// organisation's sessions; 0 and 1 are none.
-	Surge float64 `json:"surge"`
-	// ChurnMs is the time between two engines that leave; each comes back, empty,
-	// after some seconds. 0 is none.
+	// SurgeFactor multiplies the arrival rate in the middle third of the run. The additional requests belong to the
+	// sessions of one organisation. 0 and 1 mean no surge.
+	SurgeFactor float64 `json:"surge"`
+	// ChurnMs is the interval at which engines leave. Each one rejoins with an empty cache after some seconds. 0 means no
+	// churn.
 	ChurnMs clock.Millis `json:"churn_ms"`
-	// ViewLagMs is the largest delay after which a box sees churn.
+	// ViewLagMs is the maximum delay after which a box sees an engine leave or rejoin.
 	ViewLagMs clock.Millis `json:"view_lag_ms"`
-	// Uneven gives the first box this multiple of an even part of the traffic;
-	// 0 and 1 are even.
-	Uneven float64 `json:"uneven"`
+	// FirstBoxFactor gives the first box this multiple of an equal share of the traffic. 0 and 1 mean equal shares.
+	FirstBoxFactor float64 `json:"uneven"`
 }
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Scenario string `json:"scenario"`
 	Policy   string `json:"policy"`
 	Requests int    `json:"requests"`
-	// Reuse is the part of prompt tokens found warm.
+	// Reuse is the fraction of prompt tokens that were cached.
 	Reuse float64 `json:"reuse"`
-	// Skew is the busiest engine over the mean of requests in flight, in the
-	// worst window of one second, over the engines that were there all along.
+	// Skew is the ratio of the busiest engine's requests in flight to the mean, in the worst window of one second, over
+	// the engines that were up all along.
 	Skew float64 `json:"skew"`
-	// Excess is by how many requests in flight the busiest engine was above the
-	// set multiple of the mean, in the worst window.
+	// Excess is the number of requests in flight by which the busiest engine exceeded the load bound, in the worst
+	// window.
 	Excess float64 `json:"excess"`
-	// MeanInFlight is the mean over engines and time.
+	// MeanInFlight is the mean number of requests in flight over engines and time.
 	MeanInFlight float64 `json:"mean_in_flight"`
-	// SurgeSkew and SurgeExcess are Skew and Excess within the surge.
+	// SurgeSkew and SurgeExcess are Skew and Excess during the surge.
 	SurgeSkew   float64 `json:"surge_skew"`
 	SurgeExcess float64 `json:"surge_excess"`
-	// Asks is how many questions to owners a request took.
+	// Asks is the mean number of questions to owners per request.
 	Asks float64 `json:"asks"`
-	// Forced is how many requests went to an engine above its bound, because
-	// all that were asked were.
+	// Forced is the number of requests that were routed to an engine above its load bound because all engines that were
+	// asked for exceeded it.
 	Forced int `json:"forced"`
 }
 
-// BoundPercent is the set multiple of the mean load in every run.
+// BoundPercent is the load bound of an engine in every run, in percent of the mean load.
 const BoundPercent = 125
 
-// Run runs a scenario under a policy of package route, or PerfectKnowledge.
+// Run runs a scenario with a policy of package route or with PerfectKnowledge.
 func Run(scenario Scenario, policyName string) (Result, error) {
 	pick, err := pickerOf(policyName)
 	if err != nil {
@@ -84,10 +82,10 @@
 	return result, nil
 }
 
-// picker chooses an engine for a request that a box took in, or none.
+// picker returns the position of the engine for a request that a box received, or none.
 type picker func(r *run, box int, s *session) int
 
-// none is the position of no engine.
+// none is returned by a picker that finds no engine.
 const none = -1
 
 func pickerOf(policyName string) (picker, error) {
--- a/internal/routebench/routebench_test.go
+++ b/internal/routebench/routebench_test.go
@@ -24,16 +24,16 @@
 func TestGrants(t *testing.T) {
 	for _, s := range Scenarios(1) {
 		if s.Boxes > 9 {
-			// The large ones take seconds; the command runs them.
+			// The large scenarios take seconds; they are only run by the command.
 			continue
 		}
 		t.Run(s.Name, func(t *testing.T) {
 			results := runAll(t, s, route.PolicyGrants, route.PolicyRendezvousBound, PerfectKnowledge)
 			grants, perfect := results[route.PolicyGrants], results[PerfectKnowledge]
-			assert.GreaterOrEqual(t, grants.Reuse/perfect.Reuse, 0.95, "reuse of perfect knowledge")
-			assert.LessOrEqual(t, grants.SurgeExcess, 1.0, "requests above the bound in the surge")
+			assert.GreaterOrEqual(t, grants.Reuse/perfect.Reuse, 0.95, "reuse relative to perfect knowledge")
+			assert.LessOrEqual(t, grants.SurgeExcess, 1.0, "requests above the load bound during the surge")
 			assert.Greater(t, grants.Reuse, 1.5*results[route.PolicyRendezvousBound].Reuse)
-			assert.Less(t, grants.Asks, 2.1, "asks a request")
+			assert.Less(t, grants.Asks, 2.1, "questions per request")
 		})
 	}
 }
@@ -41,13 +41,13 @@
 func TestBaselines(t *testing.T) {
 	s := Scenarios(1)[1]
 	results := runAll(t, s, route.PolicyLeastReported, route.PolicyRendezvous, route.PolicyTwoChoices)
-	t.Run("herd on stale low reports", func(t *testing.T) {
+	t.Run("the least reported load herds requests on stale reports", func(t *testing.T) {
 		assert.Greater(t, results[route.PolicyLeastReported].SurgeSkew, 5.0)
 	})
-	t.Run("break the bound without one", func(t *testing.T) {
+	t.Run("rendezvous hashing without a load bound overloads engines", func(t *testing.T) {
 		assert.Greater(t, results[route.PolicyRendezvous].SurgeSkew, 1.5)
 	})
-	t.Run("find nothing warm without affinity", func(t *testing.T) {
+	t.Run("two random choices without affinity reuse almost nothing", func(t *testing.T) {
 		assert.Less(t, results[route.PolicyTwoChoices].Reuse, 0.1)
 	})
 }
--- a/internal/routebench/run.go
+++ b/internal/routebench/run.go
@@ -8,22 +8,22 @@
 	"dooryard.example/dooryard/internal/route"
 )
 
-// A request's times and sizes, in the proportions of a chat on a large model.
+// Times and sizes of requests, in the proportions of a chat with a large model, and parameters of the simulation.
 const (
-	turnTokens   = 500
-	turns        = 8
-	outputMs     = 4000
-	prefillMs    = 1200
-	sampleMs     = 100
-	reportMs     = 1000
-	fullWeight   = 100
-	engineSlots  = 1 << 20
-	awayMs       = 20_000
-	slowStartMs  = 30_000
-	warmupParts  = 6
-	thirds       = 3
-	surgeTries   = 8
-	surgeBacklog = 4
+	turnTokens      = 500
+	turns           = 8
+	outputMs        = 4000
+	prefillMs       = 1200
+	sampleMs        = 100
+	reportMs        = 1000
+	fullWeight      = 100
+	engineSlots     = 1 << 20
+	downtimeMs      = 20_000
+	slowStartMs     = 30_000
+	warmupDivisor   = 6
+	thirds          = 3
+	maxSessionTries = 8
+	sessionRatio    = 4
 )
 
 // run is the state of one run.
@@ -35,30 +35,30 @@
 	now      clock.Millis
 	nextMs   float64
 
-	views    []*route.View
-	engines  []*engine
-	sessions []*session
-	surgers  []*session
-	history  *history
+	views         []*route.View
+	engines       []*engine
+	sessions      []*session
+	surgeSessions []*session
+	history       *history
 
 	owners *owners
 
-	all          int
-	requests     int
-	prompt, warm float64
+	allRequests                int
+	requests                   int
+	promptTokens, cachedTokens float64
 }
 
-// engine is the truth about one engine.
+// engine is the true state of an engine.
 type engine struct {
 	inFlight int
 	up       bool
-	// steady is set while the engine was there all along.
-	steady   bool
+	// stable is set as long as the engine has never left.
+	stable   bool
 	joinedMs clock.Millis
 	cache    *sessionCache
 }
 
-// session is one chat. It sends one request at a time.
+// session is a chat, which sends one request at a time.
 type session struct {
 	key  route.Key
 	turn int
@@ -70,7 +70,7 @@
 	r.buildEngines()
 	r.buildViews()
 	r.sessions = r.newSessions(scenario.SessionsPerEngine * scenario.Engines)
-	r.surgers = r.newSessions(int(scenario.Mean * scenario.Surge * float64(scenario.Engines) * surgeBacklog))
+	r.surgeSessions = r.newSessions(int(scenario.Mean * scenario.SurgeFactor * float64(scenario.Engines) * sessionRatio))
 	r.history = newHistory(scenario)
 	if usesGrants {
 		r.owners = newOwners(scenario.Boxes)
@@ -89,7 +89,7 @@
 		if i < r.scenario.SmallCaches {
 			size /= 2
 		}
-		r.engines = append(r.engines, &engine{up: true, steady: true, joinedMs: -slowStartMs, cache: newSessionCache(size)})
+		r.engines = append(r.engines, &engine{up: true, stable: true, joinedMs: -slowStartMs, cache: newSessionCache(size)})
 	}
 }
 
@@ -126,23 +126,23 @@
 			return
 		}
 		r.now = e.at
-		e.do()
+		e.action()
 	}
 }
 
-// surging reports whether the middle third runs.
+// surging reports whether the surge in the middle third of the run is active.
 func (r *run) surging() bool {
 	third := r.scenario.LengthMs / thirds
-	return r.scenario.Surge > 1 && r.now >= third && r.now < 2*third
+	return r.scenario.SurgeFactor > 1 && r.now >= third && r.now < 2*third
 }
 
-// measuring is false while caches fill.
-func (r *run) measuring() bool { return r.now > r.scenario.LengthMs/warmupParts }
+// measuring reports whether the warm-up, in which the caches fill, is over.
+func (r *run) measuring() bool { return r.now > r.scenario.LengthMs/warmupDivisor }
 
 func (r *run) scheduleArrival() {
 	perMs := r.scenario.Mean * float64(r.scenario.Engines) / outputMs
 	if r.surging() {
-		perMs *= r.scenario.Surge
+		perMs *= r.scenario.SurgeFactor
 	}
 	r.nextMs += r.random.ExpFloat64() / perMs
 	r.events.add(clock.Millis(r.nextMs), func() {
@@ -158,22 +158,22 @@
 	if position == none {
 		return
 	}
-	r.all++
+	r.allRequests++
 	e := r.engines[position]
 	tokens := float64(turnTokens * (s.turn + 1))
-	warm := min(tokens, e.cache.use(s.key, tokens))
+	cachedTokens := min(tokens, e.cache.use(s.key, tokens))
 	if r.measuring() {
 		r.requests++
-		r.prompt += tokens
-		r.warm += warm
+		r.promptTokens += tokens
+		r.cachedTokens += cachedTokens
 	}
-	r.begin(box, position, s, r.length(tokens-warm))
+	r.begin(box, position, s, r.length(tokens-cachedTokens))
 }
 
-// length is how long a request runs: its output, and its cold part's prefill.
-func (r *run) length(cold float64) clock.Millis {
+// length returns the duration of a request: the time of its output plus the prefill of its uncached tokens.
+func (r *run) length(uncachedTokens float64) clock.Millis {
 	output := outputMs/2 + r.random.ExpFloat64()*outputMs/2
-	return clock.Millis(output + cold/(turnTokens*turns)*prefillMs)
+	return clock.Millis(output + uncachedTokens/(turnTokens*turns)*prefillMs)
 }
 
 func (r *run) begin(box, position int, s *session, length clock.Millis) {
@@ -184,7 +184,7 @@
 	r.events.add(r.now+length, func() {
 		e.inFlight--
 		r.views[box].Add(position, -1)
-		r.hold(box, position)
+		r.reportInFlight(box, position)
 		s.busy = false
 		s.turn++
 		if s.turn == turns {
@@ -194,20 +194,20 @@
 }
 
 func (r *run) chooseBox() int {
-	if r.scenario.Uneven > 1 && r.random.Float64() < r.scenario.Uneven/float64(r.scenario.Boxes) {
+	if r.scenario.FirstBoxFactor > 1 && r.random.Float64() < r.scenario.FirstBoxFactor/float64(r.scenario.Boxes) {
 		return 0
 	}
 	return r.random.IntN(r.scenario.Boxes)
 }
 
-// chooseSession picks who sends next; in a surge the extra requests are those of
-// one organisation's sessions.
+// chooseSession picks the session that sends the next request. During a surge the additional requests belong to the
+// sessions of one organisation.
 func (r *run) chooseSession() *session {
 	from := r.sessions
-	if r.surging() && r.random.Float64() < 1-1/r.scenario.Surge {
-		from = r.surgers
+	if r.surging() && r.random.Float64() < 1-1/r.scenario.SurgeFactor {
+		from = r.surgeSessions
 	}
-	for range surgeTries {
+	for range maxSessionTries {
 		if s := from[r.random.IntN(len(from))]; !s.busy {
 			return s
 		}
@@ -215,7 +215,7 @@
 	return &session{key: route.Key(r.random.Uint64())}
 }
 
-// sample records the truth and hands old records to the boxes as reports.
+// sample records the true loads, delivers delayed load reports to the boxes, and updates the slow-start weights.
 func (r *run) sample() {
 	r.events.add(r.now+sampleMs, r.sample)
 	r.history.add(r)
@@ -230,7 +230,7 @@
 	}
 }
 
-// churn lets one engine leave and come back empty.
+// churn takes a random engine down, which rejoins later with an empty cache.
 func (r *run) churn() {
 	r.events.add(r.now+r.scenario.ChurnMs, r.churn)
 	position := r.random.IntN(len(r.engines))
@@ -238,17 +238,17 @@
 	if !e.up {
 		return
 	}
-	e.up, e.steady = false, false
-	r.tellBoxes(position, true)
-	r.events.add(r.now+awayMs, func() {
+	e.up, e.stable = false, false
+	r.notifyBoxes(position, true)
+	r.events.add(r.now+downtimeMs, func() {
 		e.cache.clear()
 		e.up, e.joinedMs = true, r.now
-		r.tellBoxes(position, false)
+		r.notifyBoxes(position, false)
 	})
 }
 
-// tellBoxes lets each box see a change after a delay of its own.
-func (r *run) tellBoxes(position int, leaving bool) {
+// notifyBoxes notifies each box of a change after a random delay.
+func (r *run) notifyBoxes(position int, leaving bool) {
 	for _, v := range r.views {
 		delay := clock.Millis(0)
 		if r.scenario.ViewLagMs > 0 {
--- a/internal/routebench/scenarios.go
+++ b/internal/routebench/scenarios.go
@@ -2,13 +2,13 @@
 
 import "dooryard.example/dooryard/internal/clock"
 
-// Scenarios returns the seeded runs that routing is measured by.
+// Scenarios returns the benchmark scenarios with the given seed.
 func Scenarios(seed uint64) []Scenario {
 	base := Scenario{
 		Seed: seed, Boxes: 9, Engines: 40, Mean: 8, SessionsPerEngine: 120, CacheSessions: 100,
 		ReportLagMs: clock.Second, LengthMs: 400 * clock.Second, ChurnMs: 10 * clock.Second, ViewLagMs: 5 * clock.Second,
 	}
-	surge := base.with("surge, 9 boxes, 40 engines", func(s *Scenario) { s.Surge = 2 })
+	surge := base.with("surge, 9 boxes, 40 engines", func(s *Scenario) { s.SurgeFactor = 2 })
 	return []Scenario{
 		base.with("churn, 9 boxes, 40 engines", func(*Scenario) {}),
 		surge,
@@ -16,7 +16,7 @@
 		surge.with("surge, 3 boxes, 40 engines", func(s *Scenario) { s.Boxes = 3 }),
 		surge.with("surge, mean of 24", func(s *Scenario) { s.Mean = 24 }),
 		surge.with("surge, a quarter of the caches halved", func(s *Scenario) { s.SmallCaches = 10 }),
-		surge.with("surge, one box with half the traffic", func(s *Scenario) { s.Uneven = 4.5 }),
+		surge.with("surge, one box with half the traffic", func(s *Scenario) { s.FirstBoxFactor = 4.5 }),
 		surge.with("surge, 90 boxes, 360 engines", large),
 		surge.with("surge, 90 boxes, 360 engines, mean of 40", func(s *Scenario) {
 			large(s)
@@ -25,7 +25,7 @@
 	}
 }
 
-// large is one failure domain of the target size.
+// large sets the target size of a failure domain.
 func large(s *Scenario) {
 	s.Boxes, s.Engines = 90, 360
 	s.LengthMs = 100 * clock.Second
