--- a/internal/experiment/day.go
+++ b/internal/experiment/day.go
@@ -16,186 +16,187 @@
 	"dooryard.example/dooryard/internal/upstream"
 )
 
-// Sizes of the fleet and its load, in the proportions of a small deployment of today.
+// Sizes of the fleet and its load, in the proportions of a current small deployment.
 const (
-	domains          = 4
-	boxesPerDomain   = 2
-	enginesPerDomain = 4
-	sessions         = 160
-	heads            = 4
-	requestEachMs    = 5
-	lengthMs         = 30 * clock.Second
-	headTokens       = 500
-	sessionTokens    = 8000
-	ownTokens        = 300
-	slots            = 48
+	domains           = 4
+	boxesPerDomain    = 2
+	enginesPerDomain  = 4
+	sessions          = 160
+	prefixes          = 4
+	requestIntervalMs = 5
+	lengthMs          = 30 * clock.Second
+	prefixTokens      = 500
+	sessionTokens     = 8000
+	uniqueTokens      = 300
+	slots             = 48
 )
 
-// Times of requests and faults.
+// Latencies, fault times and limits of the simulation.
 const (
-	tickMs       clock.Millis = 1
-	meshMs       clock.Millis = 250
-	answerMs     clock.Millis = 50
-	streamMs     clock.Millis = 800
-	tokensPerMs               = 100
-	movesPerMs                = 1000
-	refusedMs    clock.Millis = 3
-	silentMs     clock.Millis = 200
-	objectiveMs  clock.Millis = 300
-	noticeMs     clock.Millis = 300
-	crashAtMs                 = 10 * clock.Second
-	cutAtMs                   = 18 * clock.Second
-	cutMs                     = 5 * clock.Second
-	maxConnects               = 24
-	maxAttempts               = 2
-	errorPercent              = 5
-	percent                   = 100
-	boundPercent              = 180
-	panicPercent              = 85
+	tickMs             clock.Millis = 1
+	exchangeIntervalMs clock.Millis = 250
+	baseLatencyMs      clock.Millis = 50
+	streamDurationMs   clock.Millis = 800
+	prefillTokensPerMs              = 100
+	fetchTokensPerMs                = 1000
+	connectRefusedMs   clock.Millis = 3
+	connectTimeoutMs   clock.Millis = 200
+	objectiveMs        clock.Millis = 300
+	detectionMs        clock.Millis = 300
+	crashAtMs                       = 10 * clock.Second
+	partitionAtMs                   = 18 * clock.Second
+	partitionMs                     = 5 * clock.Second
+	maxConnectAttempts              = 24
+	maxAttempts                     = 2
+	errorPercent                    = 5
+	percent                         = 100
+	boundPercent                    = 180
+	panicPercent                    = 85
 )
 
-// engine is the truth about one engine.
+// engine is the true state of an engine. The map cached holds the prompt parts in its cache.
 type engine struct {
 	registry.Upstream
-	up    bool
-	keeps map[string]bool
+	up     bool
+	cached map[string]bool
 }
 
-// box is one box with its decisions.
+// box is a box with the balance.Manager that makes its decisions.
 type box struct {
 	domain string
 	*balance.Manager
-	// told is how far each other box was told of parts that engines keep.
-	told map[*box]int64
+	// lastSent is the position up to which each other box has received this box's log of cached prompt parts.
+	lastSent map[*box]int64
 }
 
-// end is a request that ends.
-type end struct {
+// completion is the scheduled end of a running request.
+type completion struct {
 	atMs  clock.Millis
 	lease *balance.Lease
 }
 
-// day is one day in play.
-type day struct {
-	off    Mechanism
-	faults []Fault
-	random *rand.Rand
-	now    clock.Millis
+// simulation is one simulated run of the fleet with one mechanism disabled, or none.
+type simulation struct {
+	disabled Mechanism
+	faults   []Fault
+	random   *rand.Rand
+	now      clock.Millis
 
 	boxes   []*box
 	engines []*engine
-	cut     string
-	ends    []end
-	// read are the parts that some engine has read.
+	// isolated is the failure domain that is cut off by a network partition, or "".
+	isolated    string
+	completions []completion
+	// read holds the prompt parts that at least one engine has read.
 	read map[string]bool
 
 	requests, served, inTime, attempts int
-	tokens, again, moved               int
+	sharedTokens, reread, fetched      int
 }
 
-func newDay(off Mechanism, faults []Fault, seed uint64) *day {
-	d := &day{
-		off: off, faults: faults, random: rand.New(rand.NewPCG(seed, 1)), //nolint:gosec // Seeded on purpose.
+func newSimulation(disabled Mechanism, faults []Fault, seed uint64) *simulation {
+	s := &simulation{
+		disabled: disabled, faults: faults, random: rand.New(rand.NewPCG(seed, 1)), //nolint:gosec // Seeded on purpose.
 		now: clock.Second, read: map[string]bool{},
 	}
 	for i := range domains * enginesPerDomain {
-		d.addEngine(i, i%domains)
+		s.addEngine(i, i%domains)
 	}
 	for i := range domains * boxesPerDomain {
-		d.addBox(fmt.Sprint("d", i%domains))
+		s.addBox(fmt.Sprint("d", i%domains))
 	}
-	d.tellEngines()
-	return d
+	s.setUpstreams()
+	return s
 }
 
-func (d *day) addEngine(number, domain int) {
-	d.engines = append(d.engines, &engine{up: true, keeps: map[string]bool{}, Upstream: registry.Upstream{
+func (s *simulation) addEngine(number, domain int) {
+	s.engines = append(s.engines, &engine{up: true, cached: map[string]bool{}, Upstream: registry.Upstream{
 		ID: fmt.Sprint("engine-", number), Pool: "p", Address: fmt.Sprint("127.0.0.1:", number+1),
 		FailureDomain: fmt.Sprint("d", domain), Slots: slots,
 	}})
 }
 
-func (d *day) addBox(domain string) {
-	steady := func() clock.Millis { return d.now }
+func (s *simulation) addBox(domain string) {
+	monotonic := func() clock.Millis { return s.now }
 	noDial := func(context.Context, string, string) (net.Conn, error) { return nil, upstream.ErrUnreachable }
-	d.boxes = append(d.boxes, &box{domain: domain, told: map[*box]int64{}, Manager: balance.New(balance.Settings{
+	s.boxes = append(s.boxes, &box{domain: domain, lastSent: map[*box]int64{}, Manager: balance.New(balance.Settings{
 		FailureDomain: domain, BoundPercent: boundPercent, PanicPercent: panicPercent,
 		Health: health.Limits{BaseMs: clock.Second, MaxMs: 8 * clock.Second},
-	}, steady, func(address string) *upstream.Client {
-		return upstream.New(address, steady, upstream.WithDial(noDial))
-	}, d.random.IntN)})
+	}, monotonic, func(address string) *upstream.Client {
+		return upstream.New(address, monotonic, upstream.WithDial(noDial))
+	}, s.random.IntN)})
 }
 
-// tellEngines tells all boxes which engines there are.
-func (d *day) tellEngines() {
+// setUpstreams passes the current list of engines to all boxes.
+func (s *simulation) setUpstreams() {
 	list := []registry.Upstream{}
-	for _, e := range d.engines {
+	for _, e := range s.engines {
 		list = append(list, e.Upstream)
 	}
-	for _, b := range d.boxes {
+	for _, b := range s.boxes {
 		b.SetUpstreams(list)
 	}
 }
 
-func (d *day) has(f Fault) bool { return slices.Contains(d.faults, f) }
+func (s *simulation) has(f Fault) bool { return slices.Contains(s.faults, f) }
 
-// play plays the day.
-func (d *day) play() Figures {
-	for end := d.now + lengthMs; d.now < end; d.now += tickMs {
-		d.strike()
-		d.endRequests()
-		if d.now%meshMs == 0 {
-			d.exchange()
+// run runs the simulation and returns its metrics.
+func (s *simulation) run() Metrics {
+	for end := s.now + lengthMs; s.now < end; s.now += tickMs {
+		s.injectFaults()
+		s.endRequests()
+		if s.now%exchangeIntervalMs == 0 {
+			s.exchange()
 		}
-		if d.now%requestEachMs == 0 {
-			d.request(d.boxes[d.random.IntN(len(d.boxes))])
+		if s.now%requestIntervalMs == 0 {
+			s.request(s.boxes[s.random.IntN(len(s.boxes))])
 		}
 	}
-	n, tokens := float64(d.requests), float64(max(1, d.tokens))
-	return Figures{
-		InTime: float64(d.inTime) / n, Served: float64(d.served) / n, Attempts: float64(d.attempts) / n,
-		ReadAgain: float64(d.again) / tokens, Moved: float64(d.moved) / tokens,
+	n, sharedTokens := float64(s.requests), float64(max(1, s.sharedTokens))
+	return Metrics{
+		InTime: float64(s.inTime) / n, Served: float64(s.served) / n, Attempts: float64(s.attempts) / n,
+		ReadAgain: float64(s.reread) / sharedTokens, Moved: float64(s.fetched) / sharedTokens,
 	}
 }
 
-// strike begins and ends faults.
-func (d *day) strike() {
+// injectFaults starts and ends faults at their scheduled times.
+func (s *simulation) injectFaults() {
 	switch {
-	case d.has(Crash) && d.now == crashAtMs:
-		for i, e := range d.engines {
+	case s.has(Crash) && s.now == crashAtMs:
+		for i, e := range s.engines {
 			e.up = i%3 != 0
 		}
-	case d.has(Crash) && d.now == crashAtMs+3*clock.Second:
-		d.replaceEngines()
-	case d.has(Cut) && d.now == cutAtMs:
-		d.cut = "d0"
-	case d.has(Cut) && d.now == cutAtMs+noticeMs && d.off != Paths:
-		d.look(false)
-	case d.has(Cut) && d.now == cutAtMs+cutMs:
-		d.cut = ""
-	case d.has(Cut) && d.now == cutAtMs+cutMs+noticeMs && d.off != Paths:
-		d.look(true)
+	case s.has(Crash) && s.now == crashAtMs+3*clock.Second:
+		s.replaceEngines()
+	case s.has(Partition) && s.now == partitionAtMs:
+		s.isolated = "d0"
+	case s.has(Partition) && s.now == partitionAtMs+detectionMs && s.disabled != PathProbing:
+		s.reportProbes(false)
+	case s.has(Partition) && s.now == partitionAtMs+partitionMs:
+		s.isolated = ""
+	case s.has(Partition) && s.now == partitionAtMs+partitionMs+detectionMs && s.disabled != PathProbing:
+		s.reportProbes(true)
 	}
 }
 
-// replaceEngines has new engines come in place of those that crashed.
-func (d *day) replaceEngines() {
-	gone := 0
-	for i := len(d.engines) - 1; i >= 0; i-- {
-		if !d.engines[i].up {
-			d.engines = slices.Delete(d.engines, i, i+1)
-			gone++
+// replaceEngines replaces the engines that crashed by new ones.
+func (s *simulation) replaceEngines() {
+	removed := 0
+	for i := len(s.engines) - 1; i >= 0; i-- {
+		if !s.engines[i].up {
+			s.engines = slices.Delete(s.engines, i, i+1)
+			removed++
 		}
 	}
-	for i := range gone {
-		d.addEngine(domains*enginesPerDomain+i, i%domains)
+	for i := range removed {
+		s.addEngine(domains*enginesPerDomain+i, i%domains)
 	}
-	d.tellEngines()
+	s.setUpstreams()
 }
 
-// look tells all boxes whether connections over the cut open.
-func (d *day) look(opened bool) {
-	for _, b := range d.boxes {
+// reportProbes reports to all boxes the result of probing the failure domains across the partition.
+func (s *simulation) reportProbes(opened bool) {
+	for _, b := range s.boxes {
 		for i := range domains {
 			if name := fmt.Sprint("d", i); (name == "d0") != (b.domain == "d0") {
 				b.Probed(name, opened)
@@ -204,15 +205,15 @@
 	}
 }
 
-// reaches reports whether there is a path between two failure domains.
-func (d *day) reaches(one, other string) bool {
-	return d.cut == "" || (one == d.cut) == (other == d.cut)
+// reachable reports whether two failure domains can reach each other.
+func (s *simulation) reachable(one, other string) bool {
+	return s.isolated == "" || (one == s.isolated) == (other == s.isolated)
 }
 
-// endRequests gives back what has ended.
-func (d *day) endRequests() {
-	d.ends = slices.DeleteFunc(d.ends, func(e end) bool {
-		if e.atMs > d.now {
+// endRequests releases the leases of the requests that have ended.
+func (s *simulation) endRequests() {
+	s.completions = slices.DeleteFunc(s.completions, func(e completion) bool {
+		if e.atMs > s.now {
 			return false
 		}
 		e.lease.Release(balance.Succeeded)
@@ -220,39 +221,39 @@
 	})
 }
 
-// exchange has each box tell the others its load and what engines keep.
-func (d *day) exchange() {
-	for _, b := range d.boxes {
+// exchange passes the load of each box and its news about cached prompt parts to the boxes that it can reach.
+func (s *simulation) exchange() {
+	for _, b := range s.boxes {
 		others := map[namekey.Key]int{}
-		for _, other := range d.boxes {
-			if other != b && d.reaches(b.domain, other.domain) {
-				d.tell(other, b, others)
+		for _, other := range s.boxes {
+			if other != b && s.reachable(b.domain, other.domain) {
+				s.share(other, b, others)
 			}
 		}
 		b.SetOthers(others)
 	}
 }
 
-// tell has one box tell another what engines keep, and adds its load to that of others.
-func (d *day) tell(from, to *box, loads map[namekey.Key]int) {
-	if d.off != OthersLoads {
+// share passes the news about cached prompt parts from one box to another, and adds the sender's load to loads.
+func (s *simulation) share(from, to *box, loads map[namekey.Key]int) {
+	if s.disabled != LoadSharing {
 		for id, count := range from.InFlight() {
 			loads[id] += count
 		}
 	}
-	if d.off != SharedCaches {
-		kept, next := from.KeptSince(from.told[to], percent)
-		from.told[to] = next
+	if s.disabled != CacheSharing {
+		kept, next := from.KeptSince(from.lastSent[to], percent)
+		from.lastSent[to] = next
 		to.LearnKept(kept)
 	}
 }
 
-// prompt draws a session's next prompt: earlier sessions are asked for more often.
-func (d *day) prompt() prompt.Prompt {
-	session := min(d.random.IntN(sessions), d.random.IntN(sessions))
+// prompt returns the next prompt of a random session. Sessions with a lower number are more frequent.
+func (s *simulation) prompt() prompt.Prompt {
+	session := min(s.random.IntN(sessions), s.random.IntN(sessions))
 	return prompt.Prompt{
-		{ID: fmt.Sprint("head-", session%heads), Tokens: headTokens},
+		{ID: fmt.Sprint("head-", session%prefixes), Tokens: prefixTokens},
 		{ID: fmt.Sprint("session-", session), Tokens: sessionTokens},
-		{ID: fmt.Sprint("own-", d.requests), Tokens: ownTokens},
+		{ID: fmt.Sprint("own-", s.requests), Tokens: uniqueTokens},
 	}
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,7 +1,7 @@
-// Package experiment plays days of a small fleet on the gateway's own decisions: boxes with
-// their balance.Manager, engines with caches, and faults, in simulated time and seeded. It
-// switches mechanisms off one at a time and compares in pairs, so that what each is worth can
-// be measured anywhere. Nothing is sent; the same seed gives the same figures on every machine.
+// Package experiment runs an ablation study of the gateway's routing mechanisms. It simulates a small fleet with the
+// real balance.Manager in each box, engines with caches, and faults, in simulated time and with seeded randomness. It
+// disables one mechanism at a time and compares the runs pairwise by seed, so that the effect of each mechanism can be
+// measured on any machine. Nothing is sent; the same seed gives the same figures everywhere.
 package experiment
 
 import (
@@ -11,55 +11,55 @@
 	"strings"
 )
 
-// ErrUnknown means that a mechanism or a fault has no such name.
+// ErrUnknown is returned for an unknown name of a mechanism or fault.
 var ErrUnknown = errors.New("unknown name")
 
-// Mechanism is a part of the decisions that can be switched off.
+// Mechanism is the name of a routing mechanism that can be disabled.
 type Mechanism string
 
 // Mechanisms.
 const (
-	// Sticky returns sessions to their engine.
+	// Sticky is session affinity: requests of a session are routed to the same engine.
 	Sticky Mechanism = "sticky"
-	// Fetch takes cached parts from an engine that keeps them.
+	// Fetch lets an engine fetch cached prompt parts from another engine.
 	Fetch Mechanism = "fetch"
-	// SharedCaches tells other boxes what engines keep.
-	SharedCaches Mechanism = "shared-caches"
-	// OthersLoads tells other boxes what each has in flight.
-	OthersLoads Mechanism = "others-loads"
-	// Ejection leaves out engines that can't be reached.
+	// CacheSharing shares between boxes which prompt parts engines cache.
+	CacheSharing Mechanism = "shared-caches"
+	// LoadSharing shares between boxes how many requests each has in flight.
+	LoadSharing Mechanism = "others-loads"
+	// Ejection ejects engines that can't be reached.
 	Ejection Mechanism = "ejection"
-	// Paths watches the paths to failure domains.
-	Paths Mechanism = "paths"
-	// Retry sends a request that failed to another engine.
+	// PathProbing probes the network paths to failure domains.
+	PathProbing Mechanism = "paths"
+	// Retry retries a failed request on another engine.
 	Retry Mechanism = "retry"
 )
 
 // Mechanisms returns all mechanisms.
 func Mechanisms() []Mechanism {
-	return []Mechanism{Sticky, Fetch, SharedCaches, OthersLoads, Ejection, Paths, Retry}
+	return []Mechanism{Sticky, Fetch, CacheSharing, LoadSharing, Ejection, PathProbing, Retry}
 }
 
-// Fault is a kind of trouble that a day may have.
+// Fault is the name of a kind of fault to inject.
 type Fault string
 
 // Faults.
 const (
-	// Crash takes a third of the engines away for good, and others come in their place.
+	// Crash permanently takes down a third of the engines, which are replaced by new ones.
 	Crash Fault = "crash"
-	// Cut cuts a failure domain off from the others.
-	Cut Fault = "cut"
-	// Errors has engines fail a part of what they run.
+	// Partition cuts a failure domain off from the others.
+	Partition Fault = "cut"
+	// Errors makes engines fail a fraction of the requests.
 	Errors Fault = "errors"
 )
 
 // Faults returns all faults.
-func Faults() []Fault { return []Fault{Crash, Cut, Errors} }
+func Faults() []Fault { return []Fault{Crash, Partition, Errors} }
 
-// ParseFaults reads the names of faults, parted by commas.
+// ParseFaults parses a comma-separated list of fault names.
 func ParseFaults(names string) ([]Fault, error) { return parse(names, Faults()) }
 
-// ParseMechanisms reads the names of mechanisms, parted by commas.
+// ParseMechanisms parses a comma-separated list of mechanism names.
 func ParseMechanisms(names string) ([]Mechanism, error) { return parse(names, Mechanisms()) }
 
 func parse[T ~string](names string, known []T) ([]T, error) {
@@ -69,41 +69,41 @@
 		if name == "" {
 			continue
 		}
-		at := -1
+		index := -1
 		for i, one := range known {
 			if string(one) == name {
-				at = i
+				index = i
 			}
 		}
-		if at < 0 {
-			return nil, fmt.Errorf("%w: %q is none of %v", ErrUnknown, name, known)
+		if index < 0 {
+			return nil, fmt.Errorf("%w: %q, want one of %v", ErrUnknown, name, known)
 		}
-		found = append(found, known[at])
+		found = append(found, known[index])
 	}
 	return found, nil
 }
 
-// Figures are what a day comes to, as parts of its requests or of its shared tokens.
-type Figures struct {
-	// InTime is the part of requests that were answered within the objective.
+// Metrics holds the metrics of a run, as fractions of its requests or of its shared prompt tokens.
+type Metrics struct {
+	// InTime is the fraction of requests that were answered within the latency objective.
 	InTime float64 `json:"in_time"`
-	// Served is the part that was answered at all.
+	// Served is the fraction of requests that were answered at all.
 	Served float64 `json:"served"`
-	// ReadAgain is the part of shared tokens that an engine read although another one had.
+	// ReadAgain is the fraction of shared tokens that an engine read although one had read them before.
 	ReadAgain float64 `json:"read_again"`
-	// Moved is the part that was fetched from another engine.
+	// Moved is the fraction of shared tokens that was fetched from another engine.
 	Moved float64 `json:"moved"`
-	// Attempts is how many engines a request was sent to.
+	// Attempts is the mean number of engines that a request was sent to.
 	Attempts float64 `json:"attempts"`
 }
 
-// Difference is a mean with its standard error over pairs.
+// Difference is the mean difference over pairs of runs, with its standard error.
 type Difference struct {
 	Mean  float64 `json:"mean"`
 	Error float64 `json:"standard_error"`
 }
 
-// Outcome is what switching one mechanism off changes.
+// Outcome holds the differences that disabling one mechanism makes.
 type Outcome struct {
 	Off       Mechanism  `json:"off"`
 	Pairs     int        `json:"pairs"`
@@ -114,35 +114,36 @@
 	Attempts  Difference `json:"attempts"`
 }
 
-// Report is a whole experiment.
+// Report is the result of an experiment.
 type Report struct {
 	Faults   []Fault   `json:"faults"`
 	Seed     uint64    `json:"seed"`
 	Seeds    int       `json:"seeds"`
-	Baseline Figures   `json:"baseline"`
+	Baseline Metrics   `json:"baseline"`
 	Outcomes []Outcome `json:"outcomes"`
 }
 
-// Run plays the same days with all mechanisms and with each of some switched off.
-func Run(off []Mechanism, faults []Fault, seed uint64, seeds int) Report {
-	base := days("", faults, seed, seeds)
+// Run runs the simulation for each seed with all mechanisms enabled, and again with each of the given mechanisms
+// disabled.
+func Run(disabled []Mechanism, faults []Fault, seed uint64, seeds int) Report {
+	base := runSeeds("", faults, seed, seeds)
 	report := Report{Faults: faults, Seed: seed, Seeds: seeds, Baseline: meanOf(base)}
-	for _, m := range off {
-		report.Outcomes = append(report.Outcomes, compare(m, base, days(m, faults, seed, seeds)))
+	for _, m := range disabled {
+		report.Outcomes = append(report.Outcomes, compare(m, base, runSeeds(m, faults, seed, seeds)))
 	}
 	return report
 }
 
-func days(off Mechanism, faults []Fault, seed uint64, seeds int) []Figures {
-	list := make([]Figures, seeds)
+func runSeeds(disabled Mechanism, faults []Fault, seed uint64, seeds int) []Metrics {
+	list := make([]Metrics, seeds)
 	for i := range list {
-		list[i] = newDay(off, faults, seed+uint64(i)).play()
+		list[i] = newSimulation(disabled, faults, seed+uint64(i)).run()
 	}
 	return list
 }
 
-func compare(off Mechanism, base, changed []Figures) Outcome {
-	difference := func(of func(f Figures) float64) Difference {
+func compare(disabled Mechanism, base, changed []Metrics) Outcome {
+	difference := func(of func(f Metrics) float64) Difference {
 		values := make([]float64, len(base))
 		for i := range base {
 			values[i] = of(changed[i]) - of(base[i])
@@ -150,16 +151,16 @@
 		return differenceOf(values)
 	}
 	return Outcome{
-		Off: off, Pairs: len(base),
-		InTime:    difference(func(f Figures) float64 { return f.InTime }),
-		Served:    difference(func(f Figures) float64 { return f.Served }),
-		ReadAgain: difference(func(f Figures) float64 { return f.ReadAgain }),
-		Moved:     difference(func(f Figures) float64 { return f.Moved }),
-		Attempts:  difference(func(f Figures) float64 { return f.Attempts }),
+		Off: disabled, Pairs: len(base),
+		InTime:    difference(func(f Metrics) float64 { return f.InTime }),
+		Served:    difference(func(f Metrics) float64 { return f.Served }),
+		ReadAgain: difference(func(f Metrics) float64 { return f.ReadAgain }),
+		Moved:     difference(func(f Metrics) float64 { return f.Moved }),
+		Attempts:  difference(func(f Metrics) float64 { return f.Attempts }),
 	}
 }
 
-// differenceOf returns the mean of some values and its standard error.
+// differenceOf returns the mean of the values and its standard error.
 func differenceOf(values []float64) Difference {
 	mean, sum := meanFloat(values), 0.0
 	for _, value := range values {
@@ -180,9 +181,9 @@
 	return sum / float64(max(1, len(values)))
 }
 
-func meanOf(list []Figures) Figures {
+func meanOf(list []Metrics) Metrics {
 	n := float64(max(1, len(list)))
-	sum := Figures{}
+	sum := Metrics{}
 	for _, f := range list {
 		sum.InTime += f.InTime / n
 		sum.Served += f.Served / n
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// assertWorse checks that switching a mechanism off makes a figure worse by more than twice
-// its standard error.
+// assertWorse asserts that disabling a mechanism makes a metric worse by more than twice its standard error. The sign
+// is that of a change for the worse.
 func assertWorse(t *testing.T, d Difference, sign float64) {
 	t.Helper()
 	assert.Positive(t, sign*d.Mean-2*d.Error, "%+v", d)
@@ -24,12 +24,12 @@
 		first, again := Run(nil, Faults(), 7, 1), Run(nil, Faults(), 7, 1)
 		assert.Equal(t, first, again)
 	})
-	t.Run("a calm day is served whole", func(t *testing.T) {
+	t.Run("without faults all requests are served", func(t *testing.T) {
 		base := Run(nil, nil, 1, seeds).Baseline
 		assert.InDelta(t, 1, base.Served, 0.0001)
 		assert.InDelta(t, 1, base.Attempts, 0.0001)
 	})
-	t.Run("without sessions returning, prompts are read again", func(t *testing.T) {
+	t.Run("without session affinity, prompts are read again", func(t *testing.T) {
 		off := of(t, Sticky)
 		assertWorse(t, off.ReadAgain, 1)
 	})
@@ -39,12 +39,12 @@
 		assertWorse(t, off.Moved, -1)
 	})
 	t.Run("without ejection, requests are late", func(t *testing.T) {
-		assertWorse(t, of(t, Ejection, Crash, Cut).InTime, -1)
+		assertWorse(t, of(t, Ejection, Crash, Partition).InTime, -1)
 	})
-	t.Run("without a watch on ways, requests behind a cut are late", func(t *testing.T) {
-		assertWorse(t, of(t, Paths, Cut).InTime, -1)
+	t.Run("without path probing, requests during a network partition are late", func(t *testing.T) {
+		assertWorse(t, of(t, PathProbing, Partition).InTime, -1)
 	})
-	t.Run("without a second attempt, fewer are served", func(t *testing.T) {
+	t.Run("without retries, fewer requests are served", func(t *testing.T) {
 		assertWorse(t, of(t, Retry, Errors).Served, -1)
 	})
 }
@@ -52,7 +52,7 @@
 func TestParse(t *testing.T) {
 	faults, err := ParseFaults("crash, cut")
 	require.NoError(t, err)
-	assert.Equal(t, []Fault{Crash, Cut}, faults)
+	assert.Equal(t, []Fault{Crash, Partition}, faults)
 	none, err := ParseMechanisms("")
 	require.NoError(t, err)
 	assert.Empty(t, none)
--- a/internal/experiment/request.go
+++ b/internal/experiment/request.go
@@ -6,45 +6,45 @@
 	"dooryard.example/dooryard/internal/prompt"
 )
 
-// request is one request's way through the engines.
-func (d *day) request(b *box) {
-	d.requests++
+// request simulates a request that a box receives, with its attempts on engines.
+func (s *simulation) request(b *box) {
+	s.requests++
 	ask := balance.Ask{
-		Pool: "p", Sticky: d.off != Sticky, Prompt: d.prompt(), Transfers: d.off != Fetch,
+		Pool: "p", Sticky: s.disabled != Sticky, Prompt: s.prompt(), Transfers: s.disabled != Fetch,
 	}
-	took, sent := clock.Millis(0), 0
-	for range maxConnects {
+	latency, sent := clock.Millis(0), 0
+	for range maxConnectAttempts {
 		lease, err := b.Pick(ask)
 		if err != nil {
 			return
 		}
-		e := d.engineOf(lease)
-		if wait, down := d.unreachable(b, e); down {
-			took += wait
-			d.release(lease)
-			if d.off == Retry {
+		e := s.engineOf(lease)
+		if wait, down := s.unreachable(b, e); down {
+			latency += wait
+			s.release(lease)
+			if s.disabled == Retry {
 				return
 			}
 			ask.Tried = append(ask.Tried, lease.ID)
 			continue
 		}
 		sent++
-		d.attempts++
-		if d.has(Errors) && d.random.IntN(percent) < errorPercent {
+		s.attempts++
+		if s.has(Errors) && s.random.IntN(percent) < errorPercent {
 			lease.Release(balance.Failed)
 			ask.Tried = append(ask.Tried, lease.ID)
-			if d.off == Retry || sent >= maxAttempts {
+			if s.disabled == Retry || sent >= maxAttempts {
 				return
 			}
 			continue
 		}
-		d.serve(lease, e, ask.Prompt, took)
+		s.serve(lease, e, ask.Prompt, latency)
 		return
 	}
 }
 
-func (d *day) engineOf(lease *balance.Lease) *engine {
-	for _, e := range d.engines {
+func (s *simulation) engineOf(lease *balance.Lease) *engine {
+	for _, e := range s.engines {
 		if e.ID == lease.ID {
 			return e
 		}
@@ -52,59 +52,60 @@
 	return nil
 }
 
-// unreachable reports whether no connection to an engine opens, and after which span that
-// shows: a host that is there refuses at once.
-func (d *day) unreachable(b *box, e *engine) (clock.Millis, bool) {
+// unreachable reports whether connecting to an engine fails, and after which time. A reachable host without an engine
+// refuses the connection immediately; an unreachable one runs into the connect timeout.
+func (s *simulation) unreachable(b *box, e *engine) (clock.Millis, bool) {
 	switch {
-	case !d.reaches(b.domain, e.FailureDomain):
-		return silentMs, true
+	case !s.reachable(b.domain, e.FailureDomain):
+		return connectTimeoutMs, true
 	case !e.up:
-		return refusedMs, true
+		return connectRefusedMs, true
 	default:
 		return 0, false
 	}
 }
 
-func (d *day) release(lease *balance.Lease) {
+// release releases the lease of an unreachable engine. Without ejection the failure doesn't count against the engine.
+func (s *simulation) release(lease *balance.Lease) {
 	result := balance.Unreachable
-	if d.off == Ejection {
+	if s.disabled == Ejection {
 		result = balance.Neutral
 	}
 	lease.Release(result)
 }
 
-// serve has an engine run a request: it reads what it does not keep and can't fetch.
-func (d *day) serve(lease *balance.Lease, e *engine, p prompt.Prompt, took clock.Millis) {
-	source := d.sourceOf(lease, e)
-	read, moved := ownTokens, 0
+// serve runs a request on an engine. The engine reads the prompt parts that it neither caches nor can fetch.
+func (s *simulation) serve(lease *balance.Lease, e *engine, p prompt.Prompt, latency clock.Millis) {
+	source := s.fetchSource(lease, e)
+	read, fetched := uniqueTokens, 0
 	for _, part := range p.Shared() {
-		d.tokens += part.Tokens
+		s.sharedTokens += part.Tokens
 		switch {
-		case e.keeps[part.ID]:
-		case source != nil && source.keeps[part.ID]:
-			moved += part.Tokens
+		case e.cached[part.ID]:
+		case source != nil && source.cached[part.ID]:
+			fetched += part.Tokens
 		default:
 			read += part.Tokens
-			if d.read[part.ID] {
-				d.again += part.Tokens
+			if s.read[part.ID] {
+				s.reread += part.Tokens
 			}
 		}
-		e.keeps[part.ID], d.read[part.ID] = true, true
+		e.cached[part.ID], s.read[part.ID] = true, true
 	}
-	d.moved += moved
-	took += answerMs + clock.Millis(read/tokensPerMs+moved/movesPerMs)
+	s.fetched += fetched
+	latency += baseLatencyMs + clock.Millis(read/prefillTokensPerMs+fetched/fetchTokensPerMs)
 	lease.Answered()
-	d.ends = append(d.ends, end{atMs: d.now + took + streamMs, lease: lease})
-	d.served++
-	if took <= objectiveMs {
-		d.inTime++
+	s.completions = append(s.completions, completion{atMs: s.now + latency + streamDurationMs, lease: lease})
+	s.served++
+	if latency <= objectiveMs {
+		s.inTime++
 	}
 }
 
-// sourceOf is the engine that cached parts are fetched from, if it can be reached.
-func (d *day) sourceOf(lease *balance.Lease, e *engine) *engine {
-	for _, other := range d.engines {
-		if other.Address == lease.FetchFrom && other.up && d.reaches(e.FailureDomain, other.FailureDomain) {
+// fetchSource returns the engine that cached prompt parts are fetched from, or nil if it can't be reached.
+func (s *simulation) fetchSource(lease *balance.Lease, e *engine) *engine {
+	for _, other := range s.engines {
+		if other.Address == lease.FetchFrom && other.up && s.reachable(e.FailureDomain, other.FailureDomain) {
 			return other
 		}
 	}
