--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -4,45 +4,44 @@
 	"dooryard.example/dooryard/internal/grant"
 )
 
-// Target is the size that the design has to carry.
+// Target is the fleet size and load that the design must support.
 type Target struct {
-	Boxes, Domains, Engines float64
-	RequestsPerSecond       float64
-	Sessions, Organisations float64
-	EditsPerDay             float64
-	RestartsPerDay          float64
-	AsksPerRequest          float64
-	NewsPerRequest          float64
-	UnrepeatablePart        float64
-	ClaimWindowSeconds      float64
-	HeldOutsideFirstChoice  float64
-	EngineReportsPerSecond  float64
-	ListPollsPerSecond      float64
-	TableReadsPerSecondIdle float64
-	SumsMessagesPerDomain   float64
-	// HTTPCallsPerClaim are those of a claim and its end: to the gatherer, and
-	// the gatherer's append and read.
+	Boxes, Domains, Engines    float64
+	RequestsPerSecond          float64
+	Sessions, Organisations    float64
+	EditsPerDay                float64
+	RestartsPerDay             float64
+	AsksPerRequest             float64
+	NewsPerRequest             float64
+	NonIdempotentFraction      float64
+	ClaimWindowSeconds         float64
+	FractionOutsideFirstChoice float64
+	EngineReportsPerSecond     float64
+	ListPollsPerSecond         float64
+	TableReadsPerSecondIdle    float64
+	SumsMessagesPerDomain      float64
+	// HTTPCallsPerClaim is the number of calls for a claim and its settlement: the calls to the gatherer, and the
+	// gatherer's appends and reads.
 	HTTPCallsPerClaim float64
-	// Calls are the bytes of single calls.
+	// Calls holds the sizes of single calls.
 	Calls CallBytes
 }
 
-// LetterTarget is the size of the users' letter, with the bytes of single calls as
-// they are counted now. A claim costs two calls to the gatherer, for itself and its
-// end.
+// LetterTarget returns the size that the users require, with the sizes of single calls as measured now. A claim costs
+// two calls to the gatherer: one for the claim and one for its settlement.
 func LetterTarget() Target {
 	return Target{
 		Boxes: 2500, Domains: 28, Engines: 10_000, RequestsPerSecond: 59_000,
 		Sessions: 22_000_000, Organisations: 37_000, EditsPerDay: 14_000, RestartsPerDay: 3500,
-		AsksPerRequest: 2.0, NewsPerRequest: 0.15, UnrepeatablePart: 0.002, ClaimWindowSeconds: 3600,
-		HeldOutsideFirstChoice: 0.6, EngineReportsPerSecond: 0.5, ListPollsPerSecond: 0.6,
+		AsksPerRequest: 2.0, NewsPerRequest: 0.15, NonIdempotentFraction: 0.002, ClaimWindowSeconds: 3600,
+		FractionOutsideFirstChoice: 0.6, EngineReportsPerSecond: 0.5, ListPollsPerSecond: 0.6,
 		TableReadsPerSecondIdle: 0.1,
 		SumsMessagesPerDomain:   2,
 		HTTPCallsPerClaim:       6, Calls: MeasureCallBytes(),
 	}
 }
 
-// Role is what one part of control costs a node.
+// Role is the cost of one part of the control plane per node.
 type Role struct {
 	Name           string  `json:"name"`
 	Package        string  `json:"package"`
@@ -51,16 +50,16 @@
 	MB             float64 `json:"mb"`
 }
 
-// Limits of control a node, from the users' letter.
+// Limits of the control plane's cost per node, as the users require them.
 const (
 	LimitBytesPerSecond = 3000
 	LimitCorePercent    = 1.4
 	LimitMB             = 128
 )
 
-// Budget works out what control costs a node at a size.
+// Budget computes the cost of the control plane per node at the target size.
 func Budget(slopes []Slope, t Target) []Role {
-	at := func(name string, size float64) float64 {
+	costAt := func(name string, size float64) float64 {
 		for _, s := range slopes {
 			if s.Name == name {
 				return s.At(size)
@@ -68,7 +67,7 @@
 		}
 		return 0
 	}
-	b := budget{t: t, at: at, domainBoxes: t.Boxes / t.Domains, domainEngines: t.Engines / t.Domains}
+	b := budget{t: t, costAt: costAt, domainBoxes: t.Boxes / t.Domains, domainEngines: t.Engines / t.Domains}
 	const ends = 2
 	b.datagram = perCall(slopes, DatagramCost) / ends
 	b.call = perCall(slopes, HTTPCallCost) / ends
@@ -77,13 +76,13 @@
 
 type budget struct {
 	t                          Target
-	at                         func(name string, size float64) float64
+	costAt                     func(name string, size float64) float64
 	domainBoxes, domainEngines float64
-	// datagram and call are microseconds of one end.
+	// datagram and call are the processor times of a datagram and an HTTP call at one end, in microseconds.
 	datagram, call float64
 }
 
-// perCall is the cost of one more call.
+// perCall returns the cost of an additional call.
 func perCall(slopes []Slope, name string) float64 {
 	for _, s := range slopes {
 		if s.Name == name {
@@ -93,7 +92,7 @@
 	return 0
 }
 
-// perSecondPercent turns a rate and microseconds a call into a part of a core.
+// perSecondPercent converts a rate of calls and the microseconds per call to a percentage of a core.
 func perSecondPercent(perSecond, microseconds float64) float64 {
 	const toPercent = 100.0 / 1_000_000
 	return perSecond * microseconds * toPercent
@@ -102,17 +101,17 @@
 const secondsPerDay = 24 * 60 * 60
 
 func (b budget) membership() Role {
-	messages := b.at("membership: messages both ways", b.domainBoxes)
+	messages := b.costAt("membership: messages both ways", b.domainBoxes)
 	return Role{
 		Name: "membership and exchanged facts", Package: "internal/membership",
-		BytesPerSecond: b.at("membership: bytes both ways", b.domainBoxes),
-		CorePercent: b.at("membership: processor", b.domainBoxes) +
+		BytesPerSecond: b.costAt("membership: bytes both ways", b.domainBoxes),
+		CorePercent: b.costAt("membership: processor", b.domainBoxes) +
 			perSecondPercent(messages, b.datagram),
-		MB: b.at("membership: memory", b.domainBoxes) / 1000,
+		MB: b.costAt("membership: memory", b.domainBoxes) / 1000,
 	}
 }
 
-// sums are the sums that failure domains tell each other, over all boxes.
+// sums returns the cost of the aggregated facts that failure domains exchange, averaged over all boxes.
 func (b budget) sums() Role {
 	messages := 2 * b.t.SumsMessagesPerDomain * (b.t.Domains - 1) / b.domainBoxes
 	return Role{
@@ -122,20 +121,20 @@
 	}
 }
 
-// grants cost a box the same as asker and, on average, as owner.
+// grants returns the cost of grants. On average, a box has the same cost as requester and as owner.
 func (b budget) grants() Role {
 	requests := b.t.RequestsPerSecond / b.t.Boxes
 	sizes := grant.WireSizes()
 	perRequest := b.t.AsksPerRequest*float64(sizes.Ask+sizes.Reply) + float64(sizes.Hold) +
 		b.t.NewsPerRequest*float64(sizes.News)
 	messages := 2 * requests * (2*b.t.AsksPerRequest + 1 + b.t.NewsPerRequest)
-	sessions := b.t.Sessions / b.t.Boxes * b.t.HeldOutsideFirstChoice
+	sessions := b.t.Sessions / b.t.Boxes * b.t.FractionOutsideFirstChoice
 	return Role{
 		Name: "grants and remembered sessions", Package: "internal/grant, internal/picker",
 		BytesPerSecond: 2 * requests * perRequest,
 		CorePercent: perSecondPercent(messages, b.datagram) +
-			perSecondPercent(requests*b.t.AsksPerRequest, b.at("grants: answer an ask", b.domainBoxes)),
-		MB: b.at("grants: memory of remembered sessions", sessions),
+			perSecondPercent(requests*b.t.AsksPerRequest, b.costAt("grants: answer an ask", b.domainBoxes)),
+		MB: b.costAt("grants: memory of remembered sessions", sessions),
 	}
 }
 
@@ -157,31 +156,31 @@
 	}
 }
 
-// table is reading edits, passing them on to as many boxes as one reads from,
-// and a cold start from a peer's state for each restart.
+// table returns the cost of reading edits, of relaying them to as many boxes as a box reads from, and of a cold start
+// from a peer's state for each restart.
 func (b budget) table() Role {
 	reads := b.t.EditsPerDay/secondsPerDay + b.t.TableReadsPerSecondIdle
 	restarts := b.t.RestartsPerDay / b.t.Boxes / secondsPerDay
 	const kilo, mega = 1000, 1_000_000
-	state := kilo * b.at("snapshot: bytes on the log", b.t.Organisations)
-	fold := b.at("table: fold one edit", b.t.Organisations) * b.t.EditsPerDay / secondsPerDay
+	state := kilo * b.costAt("snapshot: bytes on the log", b.t.Organisations)
+	fold := b.costAt("table: fold one edit", b.t.Organisations) * b.t.EditsPerDay / secondsPerDay
 	return Role{
 		Name: "table: read, relay, cold start", Package: "internal/tablestore, internal/logstream, internal/snapshot",
 		BytesPerSecond: 2*reads*b.t.Calls.TableRead + 2*restarts*state,
 		CorePercent: perSecondPercent(2*reads, b.call) + perSecondPercent(1, fold) +
-			perSecondPercent(restarts, kilo*b.at("cold start: read a snapshot", b.t.Organisations)),
-		MB: 2*b.at("table: memory", b.t.Organisations) + state/mega,
+			perSecondPercent(restarts, kilo*b.costAt("cold start: read a snapshot", b.t.Organisations)),
+		MB: 2*b.costAt("table: memory", b.t.Organisations) + state/mega,
 	}
 }
 
-// claims are the calls to gatherers and, on average, the gathering for others.
+// claims returns the cost of the calls to gatherers and, on average, of gathering the claims of other boxes.
 func (b budget) claims() Role {
-	perSecond := b.t.RequestsPerSecond * b.t.UnrepeatablePart / b.t.Boxes
+	perSecond := b.t.RequestsPerSecond * b.t.NonIdempotentFraction / b.t.Boxes
 	return Role{
 		Name: "claims", Package: "internal/claim",
 		BytesPerSecond: perSecond * (b.t.Calls.ClaimToGatherer + b.t.Calls.ClaimAtGatherer),
 		CorePercent:    perSecondPercent(perSecond*b.t.HTTPCallsPerClaim, 2*b.call),
-		MB:             max(0, b.at("claims: memory of remembered keys", perSecond*b.t.ClaimWindowSeconds)),
+		MB:             max(0, b.costAt("claims: memory of remembered keys", perSecond*b.t.ClaimWindowSeconds)),
 	}
 }
 
@@ -190,12 +189,12 @@
 	edits := b.t.EditsPerDay / secondsPerDay
 	return Role{
 		Name: "routing: new tables and pools", Package: "internal/pool, internal/route",
-		CorePercent: perSecondPercent(edits, b.at("routing: take a new table", b.domainEngines)),
-		MB:          b.at("routing: memory of pools", b.domainEngines) / kilo,
+		CorePercent: perSecondPercent(edits, b.costAt("routing: take a new table", b.domainEngines)),
+		MB:          b.costAt("routing: memory of pools", b.domainEngines) / kilo,
 	}
 }
 
-// Sum adds roles up.
+// Sum returns the total cost of the roles.
 func Sum(roles []Role) Role {
 	sum := Role{Name: "sum"}
 	for _, r := range roles {
@@ -206,15 +205,15 @@
 	return sum
 }
 
-// Appends is what the log takes a second over the whole fleet.
+// Appends holds the appends per second to the log, over the whole fleet.
 type Appends struct {
 	Edits, Snapshots, Leases, Claims float64
 }
 
-// LogAppends works out the appends a second at a size: claims come in batches,
-// one a shard and batch time at most, and one for each claim when they are rare.
+// LogAppends computes the appends per second at the target size. Claims are appended in batches, at most one per shard
+// and batch interval. When claims are rare, each one takes an append of its own.
 func LogAppends(t Target, shards, batchesPerSecond, renewSeconds, editsPerSnapshot, chunks float64) Appends {
-	records := 2 * t.RequestsPerSecond * t.UnrepeatablePart
+	records := 2 * t.RequestsPerSecond * t.NonIdempotentFraction
 	return Appends{
 		Edits:     t.EditsPerDay / secondsPerDay,
 		Snapshots: t.EditsPerDay / secondsPerDay / editsPerSnapshot * chunks,
@@ -223,5 +222,5 @@
 	}
 }
 
-// Sum adds the appends up.
+// Sum returns the total number of appends per second.
 func (a Appends) Sum() float64 { return a.Edits + a.Snapshots + a.Leases + a.Claims }
--- a/internal/capacity/callbytes.go
+++ b/internal/capacity/callbytes.go
@@ -16,28 +16,28 @@
 	"dooryard.example/dooryard/internal/transport"
 )
 
-// CallBytes are the bytes of single control calls, both ways with their headers,
-// as they were counted on a kept connection to the stand-ins.
+// CallBytes holds the sizes in bytes of single control calls, in both directions and with headers, as measured on a
+// reused connection to the stand-in servers.
 type CallBytes struct {
 	EngineReport float64 `json:"engine_report"`
 	ListPoll     float64 `json:"list_poll"`
 	TableRead    float64 `json:"table_read"`
-	// ClaimToGatherer and ClaimAtGatherer are those of a claim and its end.
+	// ClaimToGatherer and ClaimAtGatherer are the sizes of the calls for a claim and its settlement.
 	ClaimToGatherer float64 `json:"claim_to_gatherer"`
 	ClaimAtGatherer float64 `json:"claim_at_gatherer"`
-	// Sums is a datagram that tells another failure domain the sums of one.
+	// Sums is the size of a datagram that sends the aggregated facts of a failure domain to another one.
 	Sums float64 `json:"sums"`
 }
 
-// byteCount counts bytes on a socket.
+// byteCount counts the bytes on a connection.
 type byteCount struct{ sum int64 }
 
-// Add counts.
+// Add adds to the count.
 func (b *byteCount) Add(delta int64) { b.sum += delta }
 
 const listedBoxes = 89
 
-// callCounter makes calls to stand-ins and counts their bytes.
+// callCounter makes calls to the stand-in servers and counts their bytes.
 type callCounter struct {
 	bytes  *byteCount
 	client *http.Client
@@ -45,7 +45,7 @@
 	offset int64
 }
 
-// MeasureCallBytes counts the bytes of single calls.
+// MeasureCallBytes measures the sizes of single calls.
 func MeasureCallBytes() CallBytes {
 	boxes := standin.NewBoxes(clock.New(), 0)
 	boxes.Set(func(list *backing.BoxListReply) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// count returns the bytes of a call, after one that opens the connection.
+// count returns the bytes of a call. It makes a first call to open the connection, which isn't counted.
 func (c *callCounter) count(call func(ctx context.Context) error) float64 {
 	before := int64(0)
 	for range 2 {
@@ -115,14 +115,14 @@
 	return err
 }
 
-// claim counts a claim and its end: the calls to the gatherer, which have the
-// form of an append, or the gatherer's own appends and reads.
-func (c *callCounter) claim(gathered bool) float64 {
+// claim returns the bytes of a claim and its settlement: either those of the calls to the gatherer, which have the form
+// of an append, or those of the gatherer's own appends and reads.
+func (c *callCounter) claim(atGatherer bool) float64 {
 	c.offset = 0
-	stream := fmt.Sprint("claims-", gathered)
+	stream := fmt.Sprint("claims-", atGatherer)
 	return c.count(func(ctx context.Context) error {
 		for _, record := range claimRecords(1) {
-			if err := c.appendClaim(ctx, stream, record, gathered); err != nil {
+			if err := c.appendClaim(ctx, stream, record, atGatherer); err != nil {
 				return err
 			}
 		}
@@ -130,16 +130,16 @@
 	})
 }
 
-func (c *callCounter) appendClaim(ctx context.Context, stream string, record claim.Record, gathered bool) error {
+func (c *callCounter) appendClaim(ctx context.Context, stream string, record claim.Record, atGatherer bool) error {
 	var value any = record
-	if gathered {
+	if atGatherer {
 		value = claim.Batch{Records: []claim.Record{record}}
 	}
 	data, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
-	if _, err := c.log.Append(ctx, stream, data); err != nil || !gathered {
+	if _, err := c.log.Append(ctx, stream, data); err != nil || !atGatherer {
 		return err
 	}
 	return c.readNext(ctx, stream)
@@ -151,5 +151,5 @@
 	}, 1_800_000_000)
 	facts := targetFacts()
 	facts.Boxes = listedBoxes
-	return float64(len(node.TellSums("a", membership.NewID("north"), 1_800_000_000_000, facts)[0].Body) + envelope)
+	return float64(len(node.TellSums("a", membership.NewID("north"), 1_800_000_000_000, facts)[0].Body) + framingBytes)
 }
--- a/internal/capacity/calls.go
+++ b/internal/capacity/calls.go
@@ -17,7 +17,7 @@
 	"dooryard.example/dooryard/internal/transport"
 )
 
-// Names of the costs of single calls on loopback sockets.
+// Names of the slopes for the cost of single calls on loopback connections.
 const (
 	DatagramCost = "calls: processor of a datagram, both ends"
 	HTTPCallCost = "calls: processor of an HTTP call, both ends"
@@ -25,24 +25,23 @@
 
 const callKey = "a-key-of-the-fleet-for-measuring"
 
-// callSizes are how many calls one measurement makes.
+// callSizes are the numbers of calls per measurement.
 var callSizes = []int{2000, 5000, 10_000, 20_000}
 
-// measureCalls takes the processor time of single calls. The slope is the cost
-// of one call.
+// measureCalls measures the processor time of calls. The slope is the cost of a single call.
 func measureCalls() []Slope {
 	const micro = 1000
-	take := func(name string, calls func(count int)) Slope {
+	slopeOf := func(name string, calls func(count int)) Slope {
 		return measure(Slope{Name: name, Against: "calls", Unit: "µs"}, callSizes, func(count int) float64 {
 			before := processorTime()
 			calls(count)
 			return float64((processorTime() - before).Nanoseconds()) / micro
 		})
 	}
-	return []Slope{take(DatagramCost, datagrams), take(HTTPCallCost, httpCalls)}
+	return []Slope{slopeOf(DatagramCost, exchangeDatagrams), slopeOf(HTTPCallCost, makeHTTPCalls)}
 }
 
-// processorTime is what this process has used on all cores.
+// processorTime returns the processor time that this process has used on all cores.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -51,27 +50,28 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-type nobody struct{}
+// discard is a byte counter that counts nothing.
+type discard struct{}
 
-// Add counts nothing.
-func (nobody) Add(int64) {}
+// Add does nothing.
+func (discard) Add(int64) {}
 
-// datagrams sends messages to and fro between two sockets.
-func datagrams(count int) {
+// exchangeDatagrams exchanges the given number of messages between two sockets.
+func exchangeDatagrams(count int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	done := make(chan struct{})
 	one, two := openSocket(), openSocket()
 	body := make([]byte, 60)
-	left := count
+	remaining := count
 	channel := datagram.Channel{
-		Name: membership.ChannelName, CodeBytes: membership.CodeBytes, Sent: nobody{}, Received: nobody{},
+		Name: membership.ChannelName, CodeBytes: membership.CodeBytes, Sent: discard{}, Received: discard{},
 	}
 	channel.Handle = func(from string, _ []byte) { two.Send(channel.Name, from, body) }
 	two.Open(channel)
 	channel.Handle = func(from string, _ []byte) {
-		left -= 2
-		if left <= 0 {
+		remaining -= 2
+		if remaining <= 0 {
 			close(done)
 			return
 		}
@@ -89,11 +89,11 @@
 	if err != nil {
 		panic(err)
 	}
-	return datagram.New(conn, func() []string { return []string{callKey} }, nobody{}, zap.NewNop())
+	return datagram.New(conn, func() []string { return []string{callKey} }, discard{}, zap.NewNop())
 }
 
-// httpCalls makes calls on one kept connection, as boxes do between each other.
-func httpCalls(count int) {
+// makeHTTPCalls makes HTTP calls on a reused connection, as boxes do to each other.
+func makeHTTPCalls(count int) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -106,7 +106,7 @@
 	defer func() { _ = server.Close() }()
 	client := transport.Control(transport.Settings{
 		ConnectTimeoutMs: clock.Second, IdleTimeoutMs: clock.Second, MaxIdlePerHost: 1,
-	}, func() string { return callKey }, nobody{}, nobody{})
+	}, func() string { return callKey }, discard{}, discard{})
 	defer client.CloseIdleConnections()
 	for range count {
 		if err := callOnce(client, "http://"+listener.Addr().String()); err != nil {
--- a/internal/capacity/gossip.go
+++ b/internal/capacity/gossip.go
@@ -9,25 +9,24 @@
 	"dooryard.example/dooryard/internal/membership"
 )
 
-// Times of a run of membership.
+// Durations and sizes of a membership run.
 const (
-	gossipWarmup  = 120 * clock.Second
-	gossipMeasure = 30 * clock.Second
-	factsPeriods  = 4
-	envelope      = 1 + membership.CodeBytes
+	gossipWarmup    = 120 * clock.Second
+	gossipMeasure   = 30 * clock.Second
+	periodsPerFacts = 4
+	framingBytes    = 1 + membership.CodeBytes
 )
 
-// gossipCost is what membership costs one box.
+// gossipCost is the cost of membership per box.
 type gossipCost struct {
 	bytesPerSecond    float64
 	messagesPerSecond float64
-	// corePart is the part of one core.
-	corePart  float64
+	// coreShare is the fraction of a core.
+	coreShare float64
 	heapBytes float64
 }
 
-// gossipRun is the boxes of one failure domain in one process. Datagrams arrive
-// at once.
+// gossipRun simulates the boxes of a failure domain in one process. Datagrams are delivered immediately.
 type gossipRun struct {
 	now      clock.Millis
 	nodes    []*membership.Node
@@ -53,12 +52,12 @@
 	r.run(gossipMeasure)
 	took := time.Since(began)
 	seconds := float64(gossipMeasure) / float64(clock.Second) * float64(boxes)
-	// A byte is sent by one box and received by another.
+	// Each byte counts twice: one box sends it and another receives it.
 	const bothWays = 2
 	return gossipCost{
 		bytesPerSecond:    bothWays * float64(r.bytes) / seconds,
 		messagesPerSecond: bothWays * float64(r.messages) / seconds,
-		corePart:          took.Seconds() / seconds,
+		coreShare:         took.Seconds() / seconds,
 		heapBytes:         heap / float64(boxes),
 	}
 }
@@ -82,7 +81,7 @@
 	period := membership.DefaultSettings().PeriodMs
 	for end := r.now + span; r.now < end; r.now += period {
 		for i, node := range r.nodes {
-			if (int(r.now/period)+i)%factsPeriods == 0 {
+			if (int(r.now/period)+i)%periodsPerFacts == 0 {
 				node.SetFacts(targetFacts())
 			}
 			r.send(i, node.Tick(r.now))
@@ -91,7 +90,7 @@
 	}
 }
 
-// targetFacts are what a box of the target size tells.
+// targetFacts returns the facts that a box sends in a fleet of the target size.
 func targetFacts() membership.Facts {
 	facts := membership.Facts{TableOffset: 5_000_000, InFlight: 240}
 	for i := range 4 {
@@ -108,7 +107,7 @@
 		if err != nil || to >= len(r.nodes) {
 			continue
 		}
-		r.bytes += len(o.Body) + envelope
+		r.bytes += len(o.Body) + framingBytes
 		r.messages++
 		r.queue = append(r.queue, queued{from: from, to: to, body: o.Body})
 	}
@@ -125,8 +124,8 @@
 	}
 }
 
-// GossipBytes returns what membership costs a box in bytes a second, both ways,
-// by the size of its failure domain.
+// GossipBytes returns the bytes per second that a box sends and receives for membership, for several sizes of the
+// failure domain.
 func GossipBytes() map[string]float64 {
 	figures := map[string]float64{}
 	for _, boxes := range []int{9, 90} {
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -15,7 +15,7 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// Sizes that slopes are measured at.
+// Sizes at which the slopes are measured.
 var (
 	boxSizes          = []int{3, 9, 30, 90, 180, 360}
 	engineSizes       = []int{40, 120, 360, 750, 1500}
@@ -25,7 +25,7 @@
 	sessionSizes      = []int{1000, 10_000, 50_000, 90_000}
 )
 
-// Measure returns every slope. Progress is called before each.
+// Measure measures all slopes. The function progress is called with the name of each group before it is measured.
 func Measure(progress func(name string)) []Slope {
 	slopes := []Slope{}
 	for _, group := range []struct {
@@ -51,20 +51,20 @@
 		costs[boxes] = runGossip(boxes)
 	}
 	const kilo, percent = 1000, 100
-	take := func(name, unit string, deterministic bool, value func(gossipCost) float64) Slope {
+	slopeOf := func(name, unit string, deterministic bool, value func(gossipCost) float64) Slope {
 		s := Slope{Name: name, Against: "boxes of a failure domain", Unit: unit, Deterministic: deterministic}
 		return measure(s, boxSizes, func(boxes int) float64 { return value(costs[boxes]) })
 	}
 	return []Slope{
-		take("membership: bytes both ways", "B/s", true, func(c gossipCost) float64 { return c.bytesPerSecond }),
-		take("membership: messages both ways", "1/s", true, func(c gossipCost) float64 { return c.messagesPerSecond }),
-		take("membership: processor", "% of a core", false, func(c gossipCost) float64 { return percent * c.corePart }),
-		take("membership: memory", "kB", false, func(c gossipCost) float64 { return c.heapBytes / kilo }),
+		slopeOf("membership: bytes both ways", "B/s", true, func(c gossipCost) float64 { return c.bytesPerSecond }),
+		slopeOf("membership: messages both ways", "1/s", true, func(c gossipCost) float64 { return c.messagesPerSecond }),
+		slopeOf("membership: processor", "% of a core", false, func(c gossipCost) float64 { return percent * c.coreShare }),
+		slopeOf("membership: memory", "kB", false, func(c gossipCost) float64 { return c.heapBytes / kilo }),
 	}
 }
 
-// tableWith returns a table of organisations and engines, folded from one edit
-// for each row.
+// tableWith returns a table with the given numbers of organisations and engines. It applies the rows in edits of
+// several rows each.
 func tableWith(organisations, engines int) *table.State {
 	state := table.New()
 	apply := func(changes ...table.Change) {
@@ -105,7 +105,7 @@
 	return state
 }
 
-// weightEdit changes one organisation's weight.
+// weightEdit returns an encoded edit that changes the weight of an organisation.
 func weightEdit(state *table.State, number int) []byte {
 	data, err := json.Marshal(table.Edit{ID: fmt.Sprint("w", number), Operator: "capacity", Changes: []table.Change{{
 		Sheet: table.Organisations, Row: "organisation-1", Column: "weight", Value: fmt.Sprint(number%1000 + 1),
@@ -152,8 +152,8 @@
 	}
 }
 
-// editsPerSecond is the part of a core that a second's edits take, each folded
-// and brought into the pools.
+// editsPerSecond returns the percentage of a core that the given number of edits per second takes. Each edit is applied
+// to the table, and the table to the pools.
 func editsPerSecond(edits int) float64 {
 	state, number := tableWith(organisationSizes[2], engineSizes[2]), 0
 	manager := newManager(state)
@@ -167,7 +167,7 @@
 	})
 }
 
-// snapshotBytes is what a snapshot's records take on the log.
+// snapshotBytes returns the size of a snapshot's records on the log.
 func snapshotBytes(state *table.State) float64 {
 	chunks, err := snapshot.Make(state)
 	if err != nil {
@@ -211,7 +211,7 @@
 	}
 }
 
-// newManager returns the pools of a box with a table in force.
+// newManager returns the pool manager of a box with the given table.
 func newManager(state *table.State) *pool.Manager {
 	settings := pool.Settings{
 		BoundPercent: 125, SlowStartMs: 30_000, PanicPercent: 50,
@@ -282,7 +282,7 @@
 	}
 }
 
-// claimRecords are a claim and its end, with a short answer.
+// claimRecords returns the records of a claim and its settlement, with a short answer.
 func claimRecords(i int) []claim.Record {
 	owner := fmt.Sprintf("01M8VD65QJHHRVG0SZ7TY%05d", i)
 	key := claim.NewKey("organisation", fmt.Sprint(i))
@@ -294,7 +294,7 @@
 	}
 }
 
-// ClaimBytes is what a claim and its end take on the log.
+// ClaimBytes returns the size of a claim and its settlement on the log.
 func ClaimBytes() int {
 	data, err := json.Marshal(claim.Batch{Records: claimRecords(1)})
 	if err != nil {
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -1,5 +1,5 @@
-// Package capacity measures what control costs against the size of a fleet, so
-// that the cost at a size that no test machine has can be worked out.
+// Package capacity measures how the cost of the control plane grows with the size of a fleet, and extrapolates it to
+// fleet sizes that no test machine can run.
 package capacity
 
 import (
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// Point is one measurement.
+// Point is a measured cost at a size.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Slope is a cost against a size, with a straight line through it.
+// Slope is a series of measured costs by size, with a linear fit.
 type Slope struct {
 	Name string `json:"name"`
-	// Against names the size, Unit the cost.
+	// Against names the size that varies, and Unit is the unit of the cost.
 	Against string  `json:"against"`
 	Unit    string  `json:"unit"`
 	Points  []Point `json:"points"`
-	// Intercept and PerUnit are the line's.
+	// Intercept and PerUnit are the parameters of the fitted line.
 	Intercept float64 `json:"intercept"`
 	PerUnit   float64 `json:"per_unit"`
-	// Residual is the largest distance of a point from the line, as a part of
-	// the largest cost. A large one says that the line bends.
+	// Residual is the largest deviation of a point from the line, relative to the largest cost. A large residual means
+	// that the cost isn't linear.
 	Residual float64 `json:"residual"`
-	// Deterministic is set for costs that are the same on every machine.
+	// Deterministic is true if the cost is the same on every machine.
 	Deterministic bool `json:"deterministic"`
 }
 
-// At returns the line's cost at a size.
+// At returns the cost at a size according to the fitted line.
 func (s Slope) At(x float64) float64 { return s.Intercept + s.PerUnit*x }
 
-// fit draws the least squares line.
+// fit returns the slope with a least squares fit of its points.
 func (s Slope) fit() Slope {
 	n := float64(len(s.Points))
 	sumX, sumY, sumXX, sumXY, largest := 0.0, 0.0, 0.0, 0.0, 0.0
@@ -57,7 +57,7 @@
 	return s
 }
 
-// measure takes the points of a slope.
+// measure measures the cost at each size and fits the slope.
 func measure(s Slope, sizes []int, cost func(size int) float64) Slope {
 	for _, size := range sizes {
 		s.Points = append(s.Points, Point{X: float64(size), Y: cost(size)})
@@ -66,18 +66,18 @@
 }
 
 const (
-	timedRuns   = 5
-	timedAtMost = 60 * time.Millisecond
+	timedRuns      = 5
+	timedRunLength = 60 * time.Millisecond
 )
 
-// nanoseconds returns the time of one call: the least of several runs, which
-// other work on the machine disturbs least.
+// nanoseconds returns the mean time of a call in the fastest of several runs, which is the one least disturbed by other
+// load on the machine.
 func nanoseconds(call func()) float64 {
 	best := math.Inf(1)
 	for range timedRuns {
 		count := 0
 		began := time.Now()
-		for time.Since(began) < timedAtMost {
+		for time.Since(began) < timedRunLength {
 			call()
 			count++
 		}
@@ -86,7 +86,7 @@
 	return best
 }
 
-// heapBytes returns what a value takes on the heap.
+// heapBytes returns the heap size of a value.
 func heapBytes[T any](build func() T) float64 {
 	before := heap()
 	value := build()
