--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -1,5 +1,5 @@
-// Package load sends chats and unrepeatable calls to a fleet as its users do,
-// checks every answer against the promises, and measures.
+// Package load is a load generator. It sends chats and non-idempotent service calls to a fleet as its users do, checks
+// every answer against the guarantees of the fleet, and measures latency, cache reuse and load skew.
 package load
 
 import (
@@ -18,35 +18,36 @@
 	"dooryard.example/dooryard/internal/exchange"
 )
 
-// Caller sends requests and checks the answers.
+// Caller sends requests and checks their answers.
 type Caller struct {
 	Client *http.Client
 	Clock  clock.Clock
 }
 
-// Verdict says how an answer stands to the promises.
+// Verdict is the result of checking an answer.
 type Verdict string
 
-// Verdicts of an answer. The last four are broken promises.
+// Verdicts of an answer. Broken and the verdicts after it violate a guarantee.
 const (
+	// Whole is a complete and correct answer.
 	Whole Verdict = "whole"
-	// Refused is a clear error before any part of an answer.
+	// Refused is an error response before any part of an answer.
 	Refused Verdict = "refused"
 	// Incomplete is an answer that ended in an explicit error event.
 	Incomplete Verdict = "incomplete"
-	// Broken is a connection that ended without any end of the answer.
+	// Broken is a connection that failed or was closed before the answer ended.
 	Broken Verdict = "broken"
 	// CutAsWhole is an incomplete answer that looked complete.
 	CutAsWhole Verdict = "cut-as-whole"
-	// Crossed is an answer with parts of another request's.
+	// Crossed is an answer that contains parts of another request's answer.
 	Crossed Verdict = "crossed"
-	// Doubled is an answer with a part twice.
+	// Doubled is an answer that contains a part twice.
 	Doubled Verdict = "doubled"
-	// Late is an answer after the deadline.
+	// Late is a complete answer that arrived after the deadline.
 	Late Verdict = "late"
 )
 
-// Result is one request's end as its caller saw it.
+// Result is the result of a request as its caller saw it.
 type Result struct {
 	Verdict      Verdict
 	Status       int
@@ -54,8 +55,8 @@
 	Upstream     string
 	RetryAfter   string
 	Attempts     int
-	FirstMs      clock.Millis
-	TookMs       clock.Millis
+	FirstTokenMs clock.Millis
+	DurationMs   clock.Millis
 	MaxGapMs     clock.Millis
 	Tokens       int
 	PromptTokens int
@@ -63,51 +64,51 @@
 	Err          error
 }
 
-// ChatRequest is one chat to send.
+// ChatRequest holds the parameters of a chat request.
 type ChatRequest struct {
 	URL     string
 	Key     string
 	Session string
-	// Mark is a word that the stand-in engines repeat with each token.
+	// Mark is a word that the stand-in engines repeat in each token, so that an answer can be matched to its request.
 	Mark       string
 	Chat       engine.Chat
 	DeadlineMs clock.Millis
-	// Headers are more headers to set.
+	// Headers holds additional headers.
 	Headers map[string]string
 }
 
-var errNotWhole = errors.New("answer is not whole")
+var errIncomplete = errors.New("answer is incomplete")
 
-// Chat sends a chat and checks its answer.
+// Chat sends a chat request and checks the answer.
 func (c Caller) Chat(ctx context.Context, r ChatRequest) Result {
-	began := c.Clock.Now()
+	start := c.Clock.Now()
 	request, err := chatRequest(ctx, r)
 	if err != nil {
 		return Result{Verdict: Broken, Err: err}
 	}
 	response, err := c.Client.Do(request)
 	if err != nil {
-		return Result{Verdict: Broken, Err: err, TookMs: c.Clock.Now() - began}
+		return Result{Verdict: Broken, Err: err, DurationMs: c.Clock.Now() - start}
 	}
 	defer func() { _ = response.Body.Close() }()
-	result := head(response)
+	result := resultOf(response)
 	switch {
 	case response.StatusCode != http.StatusOK:
 		result.Verdict = Refused
 		_, result.Err = io.Copy(io.Discard, response.Body)
 	case r.Chat.Stream:
-		c.readStream(response.Body, r, began, &result)
+		c.readStream(response.Body, r, start, &result)
 	default:
-		readWhole(response.Body, r, &result)
+		readBody(response.Body, r, &result)
 	}
-	result.TookMs = c.Clock.Now() - began
-	if result.Verdict == Whole && r.DeadlineMs > 0 && result.TookMs > r.DeadlineMs+lateMarginMs {
+	result.DurationMs = c.Clock.Now() - start
+	if result.Verdict == Whole && r.DeadlineMs > 0 && result.DurationMs > r.DeadlineMs+lateMarginMs {
 		result.Verdict = Late
 	}
 	return result
 }
 
-// lateMarginMs allows for the way between router and caller.
+// lateMarginMs allows for the latency between the router and the caller.
 const lateMarginMs = 100
 
 func chatRequest(ctx context.Context, r ChatRequest) (*http.Request, error) {
@@ -133,7 +134,7 @@
 	return request, nil
 }
 
-func head(response *http.Response) Result {
+func resultOf(response *http.Response) Result {
 	attempts, _ := strconv.Atoi(response.Header.Get(exchange.HeaderAttempts))
 	return Result{
 		Status:     response.StatusCode,
@@ -144,7 +145,7 @@
 	}
 }
 
-func readWhole(body io.Reader, r ChatRequest, result *Result) {
+func readBody(body io.Reader, r ChatRequest, result *Result) {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		result.Verdict, result.Err = Broken, err
@@ -152,7 +153,7 @@
 	}
 	var completion engine.Completion
 	if err := json.Unmarshal(data, &completion); err != nil || len(completion.Choices) == 0 || completion.Usage == nil {
-		result.Verdict, result.Err = CutAsWhole, errors.Join(errNotWhole, err)
+		result.Verdict, result.Err = CutAsWhole, errors.Join(errIncomplete, err)
 		return
 	}
 	check := newTokenCheck(r.Mark)
@@ -160,47 +161,47 @@
 	result.finish(check, completion.Usage)
 }
 
-// readStream reads events up to the closing one.
-func (c Caller) readStream(body io.Reader, r ChatRequest, began clock.Millis, result *Result) {
-	reading := &streamReading{check: newTokenCheck(r.Mark), lastMs: began, beganMs: began, result: result}
+// readStream reads a streamed answer up to its final event.
+func (c Caller) readStream(body io.Reader, r ChatRequest, start clock.Millis, result *Result) {
+	reading := &streamReading{check: newTokenCheck(r.Mark), lastMs: start, startMs: start, result: result}
 	for event, err := range engine.Events(body) {
 		if err != nil {
 			result.Verdict, result.Err = Broken, err
 			return
 		}
-		reading.time(c.Clock.Now())
+		reading.recordTime(c.Clock.Now())
 		if event.Done() {
 			result.finish(reading.check, reading.usage)
 			return
 		}
-		if err := reading.take(event); err != nil {
+		if err := reading.handle(event); err != nil {
 			result.Verdict, result.Err = Incomplete, err
 			return
 		}
 	}
 }
 
-// streamReading is a streamed answer so far.
+// streamReading is the state of a streamed answer that is being read.
 type streamReading struct {
 	check           *tokenCheck
 	usage           *engine.Usage
-	beganMs, lastMs clock.Millis
+	startMs, lastMs clock.Millis
 	result          *Result
 }
 
-func (s *streamReading) time(now clock.Millis) {
-	if s.result.FirstMs == 0 {
-		s.result.FirstMs = max(1, now-s.beganMs)
+func (s *streamReading) recordTime(now clock.Millis) {
+	if s.result.FirstTokenMs == 0 {
+		s.result.FirstTokenMs = max(1, now-s.startMs)
 	} else {
 		s.result.MaxGapMs = max(s.result.MaxGapMs, now-s.lastMs)
 	}
 	s.lastMs = now
 }
 
-func (s *streamReading) take(event engine.Event) error {
+func (s *streamReading) handle(event engine.Event) error {
 	var part chunk
 	if err := json.Unmarshal([]byte(event.Data), &part); err != nil || part.Error != nil {
-		return errors.Join(errNotWhole, err)
+		return errors.Join(errIncomplete, err)
 	}
 	if part.Usage != nil {
 		s.usage = part.Usage
@@ -211,7 +212,7 @@
 	return nil
 }
 
-// chunk is one part of a streamed answer, or its error event.
+// chunk is an event of a streamed answer: a part of the completion, or an error.
 type chunk struct {
 	engine.Completion
 	Error *struct {
@@ -231,7 +232,8 @@
 	}
 }
 
-// tokenCheck follows the numbered and marked tokens of a stand-in's answer.
+// tokenCheck checks the tokens of a stand-in engine's answer. Each token consists of the request's mark and the token's
+// index, which must be consecutive from 0.
 type tokenCheck struct {
 	mark    string
 	next    int
@@ -259,7 +261,7 @@
 	}
 }
 
-// Filing is one unrepeatable call of a plain service.
+// Filing holds the parameters of a call of a plain service.
 type Filing struct {
 	URL        string
 	Key        string
@@ -270,18 +272,18 @@
 	DeadlineMs clock.Millis
 }
 
-// File sends an unrepeatable call.
+// File sends a non-idempotent call, as a POST request.
 func (c Caller) File(ctx context.Context, f Filing) Result {
 	return c.callService(ctx, http.MethodPost, f)
 }
 
-// Get sends a call that may be repeated.
+// Get sends an idempotent call, as a GET request.
 func (c Caller) Get(ctx context.Context, f Filing) Result {
 	return c.callService(ctx, http.MethodGet, f)
 }
 
 func (c Caller) callService(ctx context.Context, method string, f Filing) Result {
-	began := c.Clock.Now()
+	start := c.Clock.Now()
 	url := f.URL + "/services/" + f.Service + f.Path
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(f.Body))
 	if err != nil {
@@ -296,17 +298,17 @@
 	}
 	response, err := c.Client.Do(request)
 	if err != nil {
-		return Result{Verdict: Broken, Err: err, TookMs: c.Clock.Now() - began}
+		return Result{Verdict: Broken, Err: err, DurationMs: c.Clock.Now() - start}
 	}
 	defer func() { _ = response.Body.Close() }()
-	result := head(response)
+	result := resultOf(response)
 	data, err := io.ReadAll(response.Body)
-	result.TookMs = c.Clock.Now() - began
-	result.Verdict, result.Err = judgeFiling(f, response.StatusCode, data, err)
+	result.DurationMs = c.Clock.Now() - start
+	result.Verdict, result.Err = checkFiling(f, response.StatusCode, data, err)
 	return result
 }
 
-func judgeFiling(f Filing, status int, data []byte, err error) (Verdict, error) {
+func checkFiling(f Filing, status int, data []byte, err error) (Verdict, error) {
 	if err != nil {
 		return Broken, err
 	}
--- a/internal/load/demo.go
+++ b/internal/load/demo.go
@@ -23,30 +23,29 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// Sizes of the demo: small enough for a laptop, large enough for each fault to
-// meet requests in progress.
+// Sizes of the demo: small enough for a laptop, but large enough that each fault affects running requests.
 const (
-	demoSessions   = 48
-	demoTurns      = 8
-	demoFilings    = 60
-	demoPauseMs    = 150
-	demoDeadlineMs = 20_000
-	demoTokens     = 12
-	demoWords      = 160
-	demoMaxTries   = 20
-	demoRetryMs    = 200
+	demoSessions     = 48
+	demoTurns        = 8
+	demoServiceCalls = 60
+	demoPauseMs      = 150
+	demoDeadlineMs   = 20_000
+	demoTokens       = 12
+	demoWords        = 160
+	demoMaxTries     = 20
+	demoRetryMs      = 200
 )
 
-// Demo starts a fleet of three boxes in two failure domains, sends returning
-// chats and unrepeatable calls while an engine leaves, one fails and an edit
-// lands, prints what it measured and returns the broken promises.
+// Demo starts a fleet of three boxes in two failure domains and sends chat sessions and non-idempotent service calls to
+// it. Meanwhile an edit drains one engine, another one crashes, and streams of a third one break. Demo prints its
+// measurements and returns the violated guarantees.
 func Demo(ctx context.Context, out io.Writer) ([]Breach, error) {
 	fleet, err := localfleet.Start(ctx, demoPlan())
 	if err != nil {
 		return nil, err
 	}
 	d := &demo{
-		fleet: fleet, chats: NewTally(), filings: NewTally(),
+		fleet: fleet, chats: NewTally(), serviceCalls: NewTally(),
 		caller: Caller{Client: fleet.Client(), Clock: clock.New()},
 	}
 	err = d.run(ctx)
@@ -76,49 +75,49 @@
 }
 
 type demo struct {
-	fleet   *localfleet.Fleet
-	caller  Caller
-	chats   *Tally
-	filings *Tally
+	fleet        *localfleet.Fleet
+	caller       Caller
+	chats        *Tally
+	serviceCalls *Tally
 
-	verdict    table.Verdict
-	inForceMs  clock.Millis
-	toLeaving  atomic.Int64
-	leftMs     atomic.Int64
-	neverEnded atomic.Int64
-	keys       sync.Map
+	verdict       table.Verdict
+	inForceMs     clock.Millis
+	lateToLeaving atomic.Int64
+	drainedMs     atomic.Int64
+	unanswered    atomic.Int64
+	keys          sync.Map
 }
 
-// leaveGraceMs is within what time a leaving upstream gets no new work.
+// leaveGraceMs is the time after which a leaving upstream must get no new work.
 const leaveGraceMs = 3000
 
 func (d *demo) run(ctx context.Context) error {
-	if err := d.stopFourthBox(); err != nil {
+	if err := d.drainLastBox(); err != nil {
 		return err
 	}
 	group := sync.WaitGroup{}
 	for session := range demoSessions {
 		group.Go(func() { d.chat(ctx, session) })
 	}
-	for number := range demoFilings {
-		group.Go(func() { d.file(ctx, number) })
+	for number := range demoServiceCalls {
+		group.Go(func() { d.callService(ctx, number) })
 	}
 	var failed error
-	group.Go(func() { failed = d.faults(ctx) })
+	group.Go(func() { failed = d.injectFaults(ctx) })
 	group.Wait()
 	return failed
 }
 
-// stopFourthBox leaves two boxes in one failure domain and one in the other, by
-// a planned stop.
-func (d *demo) stopFourthBox() error {
+// drainLastBox drains the fourth box and waits until it has stopped, so that one failure domain has two boxes and the
+// other has one.
+func (d *demo) drainLastBox() error {
 	boxes := d.fleet.Boxes()
 	last := boxes[len(boxes)-1]
 	last.Drain()
 	return last.Wait()
 }
 
-// boxURL is where the platform's balancer would send the n-th request.
+// boxURL returns the URL of the box for the n-th request, in the place of the platform's load balancer.
 func (d *demo) boxURL(n int) string {
 	boxes := d.fleet.Boxes()
 	return "http://" + boxes[n%(len(boxes)-1)].Addresses().Callers
@@ -126,7 +125,7 @@
 
 var demoOrganisations = []string{"federation", "federation", "choir", "band"}
 
-// chat is one session: turns with pauses, each with all turns before it.
+// chat runs a chat session: turns with pauses between them, each of which contains the messages of all previous turns.
 func (d *demo) chat(ctx context.Context, session int) {
 	random := rand.New(rand.NewPCG(uint64(session), demoTurns))
 	organisation := demoOrganisations[session%len(demoOrganisations)]
@@ -142,7 +141,7 @@
 	}
 }
 
-// turn sends one turn until it is answered, as a client would.
+// turn sends a turn and retries it until it gets a complete answer, as a client would.
 func (d *demo) turn(
 	ctx context.Context, random *rand.Rand, organisation string, session int, messages []engine.Message, mark string,
 ) {
@@ -159,77 +158,77 @@
 		}
 		_ = d.caller.Clock.Sleep(ctx, demoRetryMs)
 	}
-	d.neverEnded.Add(1)
+	d.unanswered.Add(1)
 }
 
-// checkLeaving counts work that a leaving engine got after its grace.
+// checkLeaving counts the requests that the drained engine got after the grace period.
 func (d *demo) checkLeaving(result Result) {
-	left := clock.Millis(d.leftMs.Load())
-	began := d.caller.Clock.Now() - result.TookMs
-	if left > 0 && result.Upstream == d.fleet.Engines()[0].Name && began > left+leaveGraceMs {
-		d.toLeaving.Add(1)
+	drained := clock.Millis(d.drainedMs.Load())
+	start := d.caller.Clock.Now() - result.DurationMs
+	if drained > 0 && result.Upstream == d.fleet.Engines()[0].Name && start > drained+leaveGraceMs {
+		d.lateToLeaving.Add(1)
 	}
 }
 
-// file sends one report to two boxes at once under one key, and again until its
-// end is known.
-func (d *demo) file(ctx context.Context, number int) {
+// callService sends a call to two boxes concurrently with the same idempotency key, and retries it until it gets a
+// complete answer.
+func (d *demo) callService(ctx context.Context, number int) {
 	key := fmt.Sprintf("report-%d-%s", number, ulid.Make())
 	d.keys.Store(key, struct{}{})
 	_ = d.caller.Clock.Sleep(ctx, clock.Millis(number*demoPauseMs/2))
 	group := sync.WaitGroup{}
 	for box := range 2 {
-		group.Go(func() { d.fileAt(ctx, number+box, key) })
+		group.Go(func() { d.callServiceAt(ctx, number+box, key) })
 	}
 	group.Wait()
 }
 
-func (d *demo) fileAt(ctx context.Context, box int, key string) {
+func (d *demo) callServiceAt(ctx context.Context, box int, key string) {
 	for try := range demoMaxTries {
 		result := d.caller.File(ctx, Filing{
 			URL: d.boxURL(box + try), Key: localfleet.CallerKey("choir"), Service: localfleet.ServiceName,
 			Path: "/changes", Idempotent: key, Body: "change of " + key, DeadlineMs: demoDeadlineMs,
 		})
-		d.filings.Add(result)
+		d.serviceCalls.Add(result)
 		if result.Verdict == Whole {
 			return
 		}
 		_ = d.caller.Clock.Sleep(ctx, demoRetryMs)
 	}
-	d.neverEnded.Add(1)
+	d.unanswered.Add(1)
 }
 
-// Instants of the demo's faults.
+// Times of the demo's faults.
 const (
-	leaveAtMs = 600
-	failAtMs  = 1000
-	lostAtMs  = 1400
-	cutAtMs   = 1600
+	drainAtMs        = 600
+	killAtMs         = 1000
+	loseRepliesAtMs  = 1400
+	breakStreamsAtMs = 1600
 )
 
-// faults lets an engine leave, an edit's reply be lost, an engine die, and
-// streams break.
-func (d *demo) faults(ctx context.Context) error {
+// injectFaults drains an engine, kills another one, makes the log lose replies, and breaks the streams of a third
+// engine.
+func (d *demo) injectFaults(ctx context.Context) error {
 	engines := d.fleet.Engines()
-	_ = d.caller.Clock.Sleep(ctx, leaveAtMs)
+	_ = d.caller.Clock.Sleep(ctx, drainAtMs)
 	if err := d.edit(ctx, engines[0].Name); err != nil {
 		return err
 	}
-	_ = d.caller.Clock.Sleep(ctx, failAtMs-leaveAtMs)
+	_ = d.caller.Clock.Sleep(ctx, killAtMs-drainAtMs)
 	engines[1].Kill()
-	_ = d.caller.Clock.Sleep(ctx, lostAtMs-failAtMs)
+	_ = d.caller.Clock.Sleep(ctx, loseRepliesAtMs-killAtMs)
 	d.fleet.Platform.Log.SetFaults(func(f *standin.LogFaults) { f.LoseReplies = 3 })
-	_ = d.caller.Clock.Sleep(ctx, cutAtMs-lostAtMs)
+	_ = d.caller.Clock.Sleep(ctx, breakStreamsAtMs-loseRepliesAtMs)
 	engines[2].SetFaults(func(f *standin.EngineFaults) { f.CutAfter = 5 })
 	return nil
 }
 
-// edit drains an engine and measures when the edit is in force on every box.
+// edit submits an edit that drains an engine and measures the time until it takes effect on all boxes.
 func (d *demo) edit(ctx context.Context, engineName string) error {
 	edit := table.Edit{ID: ulid.Make().String(), Operator: "demo", Changes: []table.Change{
 		{Sheet: table.Upstreams, Row: engineName, Column: "state", Value: table.StateDraining},
 	}}
-	began := d.caller.Clock.Now()
+	start := d.caller.Clock.Now()
 	verdict, err := d.submit(ctx, edit)
 	if err != nil {
 		return err
@@ -240,8 +239,8 @@
 			return err
 		}
 	}
-	d.inForceMs = d.caller.Clock.Now() - began
-	d.leftMs.Store(int64(d.caller.Clock.Now()))
+	d.inForceMs = d.caller.Clock.Now() - start
+	d.drainedMs.Store(int64(d.caller.Clock.Now()))
 	return nil
 }
 
@@ -257,7 +256,7 @@
 	}
 	key, err := d.fleet.OperatorsKey()
 	if err != nil {
-		return table.Verdict{}, fmt.Errorf("operators' key: %w", err)
+		return table.Verdict{}, fmt.Errorf("read operators' key: %w", err)
 	}
 	request.Header.Set("Authorization", "Bearer "+key)
 	response, err := d.fleet.Client().Do(request)
@@ -267,7 +266,7 @@
 	defer func() { _ = response.Body.Close() }()
 	var verdict table.Verdict
 	if err := json.NewDecoder(response.Body).Decode(&verdict); err != nil {
-		return table.Verdict{}, fmt.Errorf("verdict: %w", err)
+		return table.Verdict{}, fmt.Errorf("decode verdict: %w", err)
 	}
 	return verdict, nil
 }
@@ -280,37 +279,37 @@
 	return text.String()
 }
 
-// demoReport is what the demo prints.
+// demoReport holds the output of the demo.
 type demoReport struct {
-	chats, filings Summary
-	lines          [][2]string
-	breaches       []Breach
+	chats, serviceCalls Summary
+	lines               [][2]string
+	breaches            []Breach
 }
 
 func (d *demo) report() *demoReport {
-	r := &demoReport{chats: d.chats.Summary(), filings: d.filings.Summary()}
-	runs, doubled, lost := d.countRuns()
+	r := &demoReport{chats: d.chats.Summary(), serviceCalls: d.serviceCalls.Summary()}
+	runs, repeated, neverRun := d.countRuns()
 	gossip, boxes := d.gossipBytes()
 	r.lines = [][2]string{
-		{"chats sent, answered whole", fmt.Sprintf("%d, %d", r.chats.Requests, r.chats.Verdicts[Whole])},
+		{"chats sent, with complete answers", fmt.Sprintf("%d, %d", r.chats.Requests, r.chats.Verdicts[Whole])},
 		{
 			"chats refused, ended by an error event",
 			fmt.Sprintf("%d, %d", r.chats.Verdicts[Refused], r.chats.Verdicts[Incomplete]),
 		},
 		{"first token p50, p99 ms", fmt.Sprintf("%d, %d", r.chats.First.P50, r.chats.First.P99)},
-		{"prompt tokens found warm", fmt.Sprintf("%.3f", r.chats.Reuse)},
-		{"filings sent, keys, keys run once", fmt.Sprintf("%d, %d, %d", r.filings.Requests, demoFilings, runs)},
-		{"filings in doubt or refused", fmt.Sprint(r.filings.Verdicts[Refused])},
-		{"edit " + string(d.verdict.Result) + ", in force on all boxes after ms", fmt.Sprint(d.inForceMs)},
-		{"gossip bytes sent by a box so far, mean", fmt.Sprint(gossip / int64(max(1, boxes)))},
-		{"streams taken up again", fmt.Sprint(d.counter("stream_resumes"))},
+		{"fraction of prompt tokens cached", fmt.Sprintf("%.3f", r.chats.Reuse)},
+		{"service calls, keys, keys run once", fmt.Sprintf("%d, %d, %d", r.serviceCalls.Requests, demoServiceCalls, runs)},
+		{"service calls refused or with unknown outcome", fmt.Sprint(r.serviceCalls.Verdicts[Refused])},
+		{"edit " + string(d.verdict.Result) + ", ms until in force on all boxes", fmt.Sprint(d.inForceMs)},
+		{"mean gossip bytes sent per box", fmt.Sprint(gossip / int64(max(1, boxes)))},
+		{"streams resumed", fmt.Sprint(d.counter("stream_resumes"))},
 	}
-	r.breaches = append(r.chats.Breaches(), r.filings.Breaches()...)
+	r.breaches = append(r.chats.Breaches(), r.serviceCalls.Breaches()...)
 	for _, b := range []Breach{
-		{"an unrepeatable call ran more than once", doubled},
-		{"an unrepeatable call was answered and never ran", lost},
-		{"a request never got its answer", int(d.neverEnded.Load())},
-		{"a leaving engine got new work late", int(d.toLeaving.Load())},
+		{"a non-idempotent call ran more than once", repeated},
+		{"a non-idempotent call never ran", neverRun},
+		{"a request got no complete answer within its retries", int(d.unanswered.Load())},
+		{"a leaving engine got new work after the grace period", int(d.lateToLeaving.Load())},
 		{"the edit was not accepted", boolCount(d.verdict.Result != table.Accepted)},
 	} {
 		if b.Count > 0 {
@@ -327,20 +326,20 @@
 	return 0
 }
 
-func (d *demo) countRuns() (once, doubled, lost int) {
+func (d *demo) countRuns() (once, repeated, neverRun int) {
 	d.keys.Range(func(key, _ any) bool {
 		name, _ := key.(string)
 		switch runs := d.fleet.Ledger.Runs(name); {
 		case runs == 1:
 			once++
 		case runs > 1:
-			doubled++
+			repeated++
 		default:
-			lost++
+			neverRun++
 		}
 		return true
 	})
-	return once, doubled, lost
+	return once, repeated, neverRun
 }
 
 func (d *demo) gossipBytes() (total int64, boxes int) {
@@ -366,16 +365,16 @@
 		fmt.Fprintf(w, "%s\t%s\n", line[0], line[1])
 	}
 	for _, outcome := range []exchange.Outcome{exchange.Ran, exchange.NotRun, exchange.Unknown} {
-		chats, filings := r.chats.Outcomes[outcome], r.filings.Outcomes[outcome]
-		fmt.Fprintf(w, "outcome %s\t%d chats, %d filings\n", outcome, chats, filings)
+		chats, serviceCalls := r.chats.Outcomes[outcome], r.serviceCalls.Outcomes[outcome]
+		fmt.Fprintf(w, "outcome %s\t%d chats, %d service calls\n", outcome, chats, serviceCalls)
 	}
-	// The output is a terminal or a buffer.
+	// Write errors are ignored: the output is a terminal or a buffer.
 	_ = w.Flush()
 	if len(r.breaches) == 0 {
-		fmt.Fprintln(out, "promises: all kept")
+		fmt.Fprintln(out, "guarantees: all kept")
 		return
 	}
 	for _, b := range r.breaches {
-		fmt.Fprintln(out, "promise broken:", b)
+		fmt.Fprintln(out, "guarantee violated:", b)
 	}
 }
--- a/internal/load/latency.go
+++ b/internal/load/latency.go
@@ -16,11 +16,11 @@
 	"dooryard.example/dooryard/internal/standin"
 )
 
-// LatencyResult is the latency of a router over going to the engine directly,
-// both measured in one run, and the load it was measured at.
+// LatencyResult holds the latencies of requests through a router and directly to the engines, both measured in the same
+// run, and the load at which they were measured.
 type LatencyResult struct {
-	// HeldPerSecond is how many requests a second the whole process held: the
-	// router, the callers and the stand-in engines share its cores.
+	// HeldPerSecond is the maximum throughput of the whole process in requests per second: the router, the callers and
+	// the stand-in engines share its cores.
 	HeldPerSecond  float64 `json:"held_per_second"`
 	PerSecond      float64 `json:"per_second"`
 	Cores          int     `json:"cores"`
@@ -32,28 +32,28 @@
 	StreamsPerHeld float64 `json:"streams_held_per_second"`
 }
 
-// Shape of the latency run.
+// Parameters of the latency run.
 const (
 	latencyWorkers = 32
-	holdSpan       = 3 * time.Second
+	throughputSpan = 3 * time.Second
 	latencySpan    = 8 * time.Second
-	loadPart       = 0.5
-	warmWorkers    = 200
-	warmRequests   = 20_000
+	loadFraction   = 0.5
+	warmUpWorkers  = 200
+	warmUpRequests = 20_000
 	directEvery    = 8
-	// generators send in turn: one alone falls behind its own clock.
+	// generators is the number of goroutines that take turns in sending: a single one falls behind its schedule.
 	generators       = 16
 	latencyMaxUs     = 10_000_000
 	streamedTokens   = 50
 	latencyPromptLen = 64
 )
 
-// Latency measures the time to the first byte of small answers at a rate a
-// second, or at half of what the process holds when it is 0.
+// Latency measures the latency of small answers at the given rate per second. If the rate is 0, it uses half of the
+// maximum throughput of the process.
 func Latency(ctx context.Context, perSecond float64, target Target, engineURLs []string) (LatencyResult, error) {
-	if target.Given() {
-		l := &latencyRun{to: destinationOf(target), engines: engineURLs}
-		l.caller = Caller{Client: l.to.client, Clock: clock.New()}
+	if target.IsSet() {
+		l := &latencyRun{dest: destinationOf(target), engines: engineURLs}
+		l.caller = Caller{Client: l.dest.client, Clock: clock.New()}
 		return l.measure(ctx, perSecond), nil
 	}
 	speed := standin.DefaultSpeed()
@@ -65,7 +65,7 @@
 	if err != nil {
 		return LatencyResult{}, err
 	}
-	l := &latencyRun{to: fleetDestination(fleet), caller: Caller{Client: fleet.Client(), Clock: clock.New()}}
+	l := &latencyRun{dest: fleetDestination(fleet), caller: Caller{Client: fleet.Client(), Clock: clock.New()}}
 	for _, e := range fleet.Engines() {
 		l.engines = append(l.engines, "http://"+e.Address)
 	}
@@ -75,30 +75,30 @@
 
 func (l *latencyRun) measure(ctx context.Context, perSecond float64) LatencyResult {
 	result := LatencyResult{Cores: runtime.NumCPU()}
-	result.HeldPerSecond, result.AllocsPerHeld = l.hold(ctx, false)
-	result.StreamsPerHeld, _ = l.hold(ctx, true)
-	l.warm(ctx)
+	result.HeldPerSecond, result.AllocsPerHeld = l.measureThroughput(ctx, false)
+	result.StreamsPerHeld, _ = l.measureThroughput(ctx, true)
+	l.warmUp(ctx)
 	result.PerSecond = perSecond
 	if perSecond == 0 {
-		result.PerSecond = loadPart * result.HeldPerSecond
+		result.PerSecond = loadFraction * result.HeldPerSecond
 	}
 	direct, routed := l.openLoop(ctx, result.PerSecond)
-	const median, most = 50, 99
-	result.DirectP50Us, result.DirectP99Us = direct.ValueAtQuantile(median), direct.ValueAtQuantile(most)
-	result.RoutedP50Us, result.RoutedP99Us = routed.ValueAtQuantile(median), routed.ValueAtQuantile(most)
+	const median, p99 = 50, 99
+	result.DirectP50Us, result.DirectP99Us = direct.ValueAtQuantile(median), direct.ValueAtQuantile(p99)
+	result.RoutedP50Us, result.RoutedP99Us = routed.ValueAtQuantile(median), routed.ValueAtQuantile(p99)
 	return result
 }
 
 type latencyRun struct {
-	to      destination
-	engines []string
-	caller  Caller
-	number  atomic.Int64
+	dest         destination
+	engines      []string
+	caller       Caller
+	requestCount atomic.Int64
 }
 
 func (l *latencyRun) chat(ctx context.Context, direct, stream bool) Result {
-	n := l.number.Add(1)
-	url := l.to.urls[n%int64(len(l.to.urls))]
+	n := l.requestCount.Add(1)
+	url := l.dest.urls[n%int64(len(l.dest.urls))]
 	if direct {
 		url = l.engines[n%int64(len(l.engines))]
 	}
@@ -107,10 +107,10 @@
 		tokens = streamedTokens
 	}
 	return l.caller.Chat(ctx, ChatRequest{
-		URL: url, Key: l.to.key("choir"), Session: fmt.Sprint(n % 1000), Mark: "m",
+		URL: url, Key: l.dest.key("choir"), Session: fmt.Sprint(n % 1000), Mark: "m",
 		Headers: map[string]string{engine.HeaderRequestID: fmt.Sprint("direct-", n)},
 		Chat: engine.Chat{
-			Model: l.to.model, MaxTokens: tokens, Stream: stream,
+			Model: l.dest.model, MaxTokens: tokens, Stream: stream,
 			Messages: []engine.Message{{Role: "user", Content: "m " + fixedWords(latencyPromptLen)}},
 		},
 	})
@@ -124,13 +124,14 @@
 	return string(text)
 }
 
-// hold finds how many requests a second a closed loop gets through the router.
-func (l *latencyRun) hold(ctx context.Context, stream bool) (perSecond, allocations float64) {
+// measureThroughput measures the throughput of the router with a closed loop of workers, and the allocations per
+// request.
+func (l *latencyRun) measureThroughput(ctx context.Context, stream bool) (perSecond, allocations float64) {
 	var done atomic.Int64
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	group := sync.WaitGroup{}
-	end := time.Now().Add(holdSpan)
+	end := time.Now().Add(throughputSpan)
 	for range latencyWorkers {
 		group.Go(func() {
 			for time.Now().Before(end) {
@@ -143,15 +144,15 @@
 	group.Wait()
 	runtime.ReadMemStats(&after)
 	count := float64(max(1, done.Load()))
-	return count / holdSpan.Seconds(), float64(after.Mallocs-before.Mallocs) / count
+	return count / throughputSpan.Seconds(), float64(after.Mallocs-before.Mallocs) / count
 }
 
-// warm opens as many connections as the open loop will use.
-func (l *latencyRun) warm(ctx context.Context) {
+// warmUp opens the connections that the open loop will use.
+func (l *latencyRun) warmUp(ctx context.Context) {
 	group := sync.WaitGroup{}
-	for worker := range warmWorkers {
+	for worker := range warmUpWorkers {
 		group.Go(func() {
-			for range warmRequests / warmWorkers {
+			for range warmUpRequests / warmUpWorkers {
 				l.chat(ctx, worker%2 == 0, false)
 			}
 		})
@@ -159,24 +160,24 @@
 	group.Wait()
 }
 
-// openLoop sends requests at a rate, some of them directly to the engines, and
-// counts each from the instant it was due.
+// openLoop sends requests at a constant rate, some of them directly to the engines. It measures each latency from the
+// time at which the request was due.
 func (l *latencyRun) openLoop(ctx context.Context, perSecond float64) (direct, routed *hdrhistogram.Histogram) {
 	direct = hdrhistogram.New(1, latencyMaxUs, histogramDigits)
 	routed = hdrhistogram.New(1, latencyMaxUs, histogramDigits)
 	mu, group := sync.Mutex{}, sync.WaitGroup{}
 	record := func(histogram *hdrhistogram.Histogram, due time.Time) {
-		took := min(time.Since(due).Microseconds(), latencyMaxUs)
+		latency := min(time.Since(due).Microseconds(), latencyMaxUs)
 		mu.Lock()
 		defer mu.Unlock()
-		_ = histogram.RecordValue(took)
+		_ = histogram.RecordValue(latency)
 	}
-	gap := time.Duration(float64(time.Second) / perSecond * generators)
-	began := time.Now()
+	interval := time.Duration(float64(time.Second) / perSecond * generators)
+	start := time.Now()
 	for g := range generators {
 		group.Go(func() {
-			for i := 0; time.Since(began) < latencySpan; i++ {
-				due := began.Add(time.Duration(i)*gap + gap*time.Duration(g)/generators)
+			for i := 0; time.Since(start) < latencySpan; i++ {
+				due := start.Add(time.Duration(i)*interval + interval*time.Duration(g)/generators)
 				time.Sleep(time.Until(due))
 				group.Go(func() {
 					histogram := routed
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -14,7 +14,7 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// Deployment is one users' deployment at today's size.
+// Deployment describes a deployment of the users at its current size.
 type Deployment struct {
 	Name             string
 	Domains          []string
@@ -22,11 +22,11 @@
 	EnginesPerDomain int
 	ServersPerDomain int
 	Organisations    []localfleet.Organisation
-	// FilingPart is the part of requests that may not be repeated.
+	// FilingPart is the fraction of requests that are non-idempotent service calls.
 	FilingPart float64
 }
 
-// Deployments returns the users' deployments.
+// Deployments returns the known deployments of the users.
 func Deployments() []Deployment {
 	return []Deployment{
 		{
@@ -40,7 +40,7 @@
 	}
 }
 
-// tenOrganisations are ten organisations, a few of them large.
+// tenOrganisations returns ten organisations, of which three have four times the weight of the others.
 func tenOrganisations(name string) []localfleet.Organisation {
 	const all, large = 10, 3
 	list := []localfleet.Organisation{}
@@ -56,56 +56,58 @@
 	return list
 }
 
-// RunPlan is one run of the load tool.
+// RunPlan holds the parameters of a run of the load generator.
 type RunPlan struct {
 	Deployment Deployment
 	Policy     string
 	Seed       uint64
-	// PerSecond is how many requests arrive a second, answered or not.
+	// PerSecond is the arrival rate in requests per second. It doesn't depend on the answers (open loop).
 	PerSecond float64
 	LengthMs  clock.Millis
-	// Sessions is how many sessions return.
+	// Sessions is the number of returning sessions.
 	Sessions int
-	// Surge multiplies arrivals in the middle third, by one organisation.
+	// Surge multiplies the arrival rate in the middle third of the run. The additional requests belong to one
+	// organisation.
 	Surge float64
-	// Target is a fleet to use in place of one of the run's own.
+	// Target, if set, is a running fleet to use instead of starting one.
 	Target Target
-	// Churn drains and returns an engine of each failure domain meanwhile.
+	// Churn makes engines leave and rejoin during the run, one at a time.
 	Churn bool
 }
 
-// RunResult is what a run measured.
+// RunResult holds the measurements of a run.
 type RunResult struct {
 	Deployment string  `json:"deployment"`
 	Policy     string  `json:"policy"`
 	Chats      Summary `json:"chats"`
 	Filings    Summary `json:"filings"`
-	// Skew is the busiest engine over the mean of its failure domain, in the
-	// worst window of a second, and Excess by how many requests it was above
-	// 1.25 times the mean.
+	// Skew is the ratio of the busiest engine's requests in flight to the mean of its failure domain, in the worst window
+	// of one second. Excess is the largest number of requests by which an engine exceeded 1.25 times the mean.
 	Skew   float64 `json:"skew"`
 	Excess float64 `json:"excess"`
-	// ControlBytes are the busiest box's a second on control sockets, both ways.
+	// ControlBytes, GossipBytes and GrantBytes are bytes per second in both directions at the busiest box: on all control
+	// connections, for gossip, and for grants.
 	ControlBytes float64  `json:"control_bytes_per_second"`
 	GossipBytes  float64  `json:"gossip_bytes_per_second"`
 	GrantBytes   float64  `json:"grant_bytes_per_second"`
 	Breaches     []Breach `json:"breaches"`
 }
 
-// Shape of the load's chats.
+// Parameters of the requests of a run.
 const (
 	runTokens     = 24
 	runWords      = 400
 	runTurnWords  = 60
 	runTurns      = 8
 	runDeadlineMs = 30_000
-	runTries      = 6
+	runMaxTries   = 6
 	thirds        = 3
 )
 
-// Run runs a plan against a fleet of its own and tells progress each second.
+// Run runs a plan against its target or, if none is set, against a fleet that it starts. It reports progress every five
+// seconds.
 func Run(ctx context.Context, plan RunPlan, progress io.Writer) (RunResult, error) {
-	if plan.Target.Given() {
+	if plan.Target.IsSet() {
 		r := newRunner(plan, destinationOf(plan.Target))
 		r.run(ctx, progress)
 		return r.result(), nil
@@ -134,24 +136,24 @@
 }
 
 type runner struct {
-	plan    RunPlan
-	to      destination
-	caller  Caller
-	random  *rand.Rand
-	chats   *Tally
-	filings *Tally
-	skew    *skewMeter
+	plan         RunPlan
+	dest         destination
+	caller       Caller
+	random       *rand.Rand
+	chats        *Tally
+	serviceCalls *Tally
+	skew         *skewMeter
 
 	mu       sync.Mutex
 	sessions []*runSession
 	keys     []string
 	group    sync.WaitGroup
-	began    clock.Millis
-	took     clock.Millis
+	start    clock.Millis
+	duration clock.Millis
 	before   map[string]controlBytes
 }
 
-// runSession is one chat that returns. It sends one request at a time.
+// runSession is a returning chat session, which sends one request at a time.
 type runSession struct {
 	id           string
 	organisation string
@@ -162,8 +164,8 @@
 
 func newRunner(plan RunPlan, a destination) *runner {
 	r := &runner{
-		plan: plan, to: a, random: rand.New(rand.NewPCG(plan.Seed, plan.Seed)),
-		caller: Caller{Client: a.client, Clock: clock.New()}, chats: NewTally(), filings: NewTally(),
+		plan: plan, dest: a, random: rand.New(rand.NewPCG(plan.Seed, plan.Seed)),
+		caller: Caller{Client: a.client, Clock: clock.New()}, chats: NewTally(), serviceCalls: NewTally(),
 		skew: newSkewMeter(a.engines()),
 	}
 	for i := range plan.Sessions {
@@ -180,15 +182,15 @@
 	}
 }
 
-// run sends requests when they are due, whether or not earlier ones were
-// answered, and counts a wait from the instant it was due.
+// run sends requests when they are due, whether or not earlier ones were answered (open loop). Latencies are measured
+// from the time at which a request was due.
 func (r *runner) run(ctx context.Context, progress io.Writer) {
 	_ = r.caller.Clock.Sleep(ctx, settleMs)
 	r.before = r.controlBytes()
-	r.began = r.caller.Clock.Now()
+	r.start = r.caller.Clock.Now()
 	stop := make(chan struct{})
-	r.group.Go(func() { r.watch(ctx, stop, progress) })
-	if r.plan.Churn && r.to.fleet != nil {
+	r.group.Go(func() { r.monitor(ctx, stop, progress) })
+	if r.plan.Churn && r.dest.fleet != nil {
 		r.group.Go(func() { r.churn(ctx, stop) })
 	}
 	due := 0.0
@@ -197,15 +199,15 @@
 		if clock.Millis(due) >= r.plan.LengthMs || ctx.Err() != nil {
 			break
 		}
-		_ = r.caller.Clock.Sleep(ctx, r.began+clock.Millis(due)-r.caller.Clock.Now())
-		r.send(ctx, number, r.began+clock.Millis(due))
+		_ = r.caller.Clock.Sleep(ctx, r.start+clock.Millis(due)-r.caller.Clock.Now())
+		r.send(ctx, number, r.start+clock.Millis(due))
 	}
 	close(stop)
-	r.took = r.caller.Clock.Now() - r.began
+	r.duration = r.caller.Clock.Now() - r.start
 	r.group.Wait()
 }
 
-// settleMs lets the boxes find each other first.
+// settleMs is the time that the boxes get to discover each other before the run.
 const settleMs = 3 * clock.Second
 
 func (r *runner) surging(at clock.Millis) bool {
@@ -221,13 +223,13 @@
 }
 
 func (r *runner) send(ctx context.Context, number int, due clock.Millis) {
-	box := r.random.IntN(len(r.to.urls))
-	if r.to.service != "" && r.random.Float64() < r.plan.Deployment.FilingPart {
+	box := r.random.IntN(len(r.dest.urls))
+	if r.dest.service != "" && r.random.Float64() < r.plan.Deployment.FilingPart {
 		key := fmt.Sprintf("filing-%d", number)
 		r.mu.Lock()
 		r.keys = append(r.keys, key)
 		r.mu.Unlock()
-		r.group.Go(func() { r.file(ctx, box, key, due) })
+		r.group.Go(func() { r.callService(ctx, box, key, due) })
 		return
 	}
 	session := r.idleSession(due)
@@ -239,12 +241,12 @@
 func (r *runner) idleSession(due clock.Millis) *runSession {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	surge := r.surging(due-r.began) && r.random.Float64() < 1-1/r.plan.Surge
+	surge := r.surging(due-r.start) && r.random.Float64() < 1-1/r.plan.Surge
 	const tries = 50
 	for range tries {
 		i := r.random.IntN(len(r.sessions))
 		if surge {
-			// Sessions of the first organisation only.
+			// Select a session of the first organisation.
 			i -= i % len(r.plan.Deployment.Organisations)
 		}
 		if s := r.sessions[i]; !s.busy {
@@ -263,19 +265,19 @@
 }
 
 func (r *runner) boxURL(box int) string {
-	return r.to.urls[box%len(r.to.urls)]
+	return r.dest.urls[box%len(r.dest.urls)]
 }
 
 func (r *runner) chat(ctx context.Context, box int, s *runSession, due clock.Millis) {
-	mark, _, _ := cutWord(s.messages[len(s.messages)-1].Content)
-	for try := range runTries {
-		late := r.caller.Clock.Now() - due
+	mark, _, _ := cutFirstWord(s.messages[len(s.messages)-1].Content)
+	for try := range runMaxTries {
+		delay := r.caller.Clock.Now() - due
 		result := r.caller.Chat(ctx, ChatRequest{
-			URL: r.boxURL(box + try), Key: r.to.key(s.organisation), Session: s.id, Mark: mark,
+			URL: r.boxURL(box + try), Key: r.dest.key(s.organisation), Session: s.id, Mark: mark,
 			DeadlineMs: runDeadlineMs,
-			Chat:       engine.Chat{Model: r.to.model, Messages: s.messages, Stream: true, MaxTokens: runTokens},
+			Chat:       engine.Chat{Model: r.dest.model, Messages: s.messages, Stream: true, MaxTokens: runTokens},
 		})
-		r.chats.AddLate(result, max(0, late))
+		r.chats.AddDelayed(result, max(0, delay))
 		if result.Verdict == Whole || ctx.Err() != nil {
 			break
 		}
@@ -287,15 +289,15 @@
 	s.busy = false
 }
 
-func (r *runner) file(ctx context.Context, box int, key string, due clock.Millis) {
-	for try := range runTries {
-		late := r.caller.Clock.Now() - due
+func (r *runner) callService(ctx context.Context, box int, key string, due clock.Millis) {
+	for try := range runMaxTries {
+		delay := r.caller.Clock.Now() - due
 		result := r.caller.File(ctx, Filing{
-			URL: r.boxURL(box + try), Key: r.to.key(r.plan.Deployment.Organisations[0].Name),
-			Service: r.to.service, Path: "/filings", Idempotent: key, Body: "report " + key,
+			URL: r.boxURL(box + try), Key: r.dest.key(r.plan.Deployment.Organisations[0].Name),
+			Service: r.dest.service, Path: "/filings", Idempotent: key, Body: "report " + key,
 			DeadlineMs: runDeadlineMs,
 		})
-		r.filings.AddLate(result, max(0, late))
+		r.serviceCalls.AddDelayed(result, max(0, delay))
 		if result.Verdict == Whole || ctx.Err() != nil {
 			return
 		}
@@ -303,8 +305,8 @@
 	}
 }
 
-// watch samples the engines and tells progress.
-func (r *runner) watch(ctx context.Context, stop <-chan struct{}, progress io.Writer) {
+// monitor samples the engine loads and reports progress.
+func (r *runner) monitor(ctx context.Context, stop <-chan struct{}, progress io.Writer) {
 	for tick := 1; ; tick++ {
 		select {
 		case <-stop:
@@ -317,20 +319,19 @@
 		r.skew.sample()
 		if tick%(5*skewWindowSamples) == 0 {
 			fmt.Fprintf(progress, "%s: %d s, %d chats\n", r.plan.Policy,
-				(r.caller.Clock.Now()-r.began)/clock.Second, r.chats.Summary().Requests)
+				(r.caller.Clock.Now()-r.start)/clock.Second, r.chats.Summary().Requests)
 		}
 	}
 }
 
-// churn lets one engine of each failure domain leave by its own word, and come
-// back, in turn.
+// churn makes one engine after the other report that it is leaving, and then rejoin, across the failure domains.
 func (r *runner) churn(ctx context.Context, stop <-chan struct{}) {
-	const awayMs = 4 * clock.Second
-	engines := r.to.engines()
+	const leaveMs = 4 * clock.Second
+	engines := r.dest.engines()
 	for i := 0; ; i++ {
 		e := engines[i*7%len(engines)]
 		e.SetLeaving(true)
-		_ = r.caller.Clock.Sleep(ctx, awayMs)
+		_ = r.caller.Clock.Sleep(ctx, leaveMs)
 		e.SetLeaving(false)
 		select {
 		case <-stop:
@@ -345,9 +346,9 @@
 func (r *runner) result() RunResult {
 	result := RunResult{
 		Deployment: r.plan.Deployment.Name, Policy: r.plan.Policy,
-		Chats: r.chats.Summary(), Filings: r.filings.Summary(), Skew: r.skew.worst, Excess: r.skew.excess,
+		Chats: r.chats.Summary(), Filings: r.serviceCalls.Summary(), Skew: r.skew.worst, Excess: r.skew.excess,
 	}
-	seconds := float64(r.took) / float64(clock.Second)
+	seconds := float64(r.duration) / float64(clock.Second)
 	for name, after := range r.controlBytes() {
 		spent := after.minus(r.before[name])
 		result.ControlBytes = max(result.ControlBytes, float64(spent.gossip+spent.grants+spent.peer)/seconds)
@@ -357,18 +358,18 @@
 	result.Breaches = append(result.Chats.Breaches(), result.Filings.Breaches()...)
 	doubled := 0
 	for _, key := range r.keys {
-		if r.to.fleet != nil && r.to.fleet.Ledger.Runs(key) > 1 {
+		if r.dest.fleet != nil && r.dest.fleet.Ledger.Runs(key) > 1 {
 			doubled++
 		}
 	}
 	if doubled > 0 {
-		breach := Breach{Promise: "an unrepeatable call ran more than once", Count: doubled}
+		breach := Breach{Description: "a non-idempotent call ran more than once", Count: doubled}
 		result.Breaches = append(result.Breaches, breach)
 	}
 	return result
 }
 
-// controlBytes are a box's bytes on its control sockets, both ways.
+// controlBytes holds the bytes that a box has sent and received on its control connections.
 type controlBytes struct{ gossip, grants, peer int64 }
 
 func (c controlBytes) minus(o controlBytes) controlBytes {
@@ -377,10 +378,10 @@
 
 func (r *runner) controlBytes() map[string]controlBytes {
 	all := map[string]controlBytes{}
-	if r.to.fleet == nil {
+	if r.dest.fleet == nil {
 		return all
 	}
-	for _, b := range r.to.fleet.Boxes() {
+	for _, b := range r.dest.fleet.Boxes() {
 		v := b.Metrics().Values()
 		all[b.Name] = controlBytes{
 			gossip: v["gossip_sent_bytes"] + v["gossip_received_bytes"],
--- a/internal/load/skew.go
+++ b/internal/load/skew.go
@@ -7,17 +7,16 @@
 	"dooryard.example/dooryard/internal/localfleet"
 )
 
-// Sampling of the engines' load.
+// Parameters of the sampling of engine loads.
 const (
 	skewSampleMs      = 100 * clock.Millis(1)
 	skewWindowSamples = 10
 	skewBound         = 1.25
-	// leastMean is the mean below which a window says nothing about skew.
-	leastMean = 1
+	// minMean is the mean number of requests in flight below which a window is too small a sample to measure skew.
+	minMean = 1
 )
 
-// skewMeter compares the busiest engine of each failure domain with its mean, in
-// windows of a second.
+// skewMeter compares the busiest engine of each failure domain with the mean of the domain, in windows of one second.
 type skewMeter struct {
 	engines []*localfleet.EngineProcess
 	sums    []float64
@@ -52,7 +51,7 @@
 	m.samples = 0
 	for domain, total := range totals {
 		mean := total / counts[domain]
-		if mean < leastMean {
+		if mean < minMean {
 			continue
 		}
 		m.worst = max(m.worst, busiest[domain]/mean)
@@ -60,5 +59,5 @@
 	}
 }
 
-// cutWord returns the first word of a text.
-func cutWord(text string) (word, rest string, found bool) { return strings.Cut(text, " ") }
+// cutFirstWord splits a text after its first word.
+func cutFirstWord(text string) (word, rest string, found bool) { return strings.Cut(text, " ") }
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -10,34 +10,34 @@
 	"dooryard.example/dooryard/internal/exchange"
 )
 
-// Bounds of the histograms, in milliseconds.
+// Range of the histograms in milliseconds, and their number of significant digits.
 const (
 	histogramLow    = 1
 	histogramHigh   = 600_000
 	histogramDigits = 3
 )
 
-// Tally counts results. It is safe for concurrent use.
+// Tally collects statistics of results. It is safe for concurrent use.
 type Tally struct {
-	mu        sync.Mutex
-	verdicts  map[Verdict]int
-	outcomes  map[exchange.Outcome]int
-	statuses  map[int]int
-	first     *hdrhistogram.Histogram
-	gap       *hdrhistogram.Histogram
-	took      *hdrhistogram.Histogram
-	prompt    int
-	cached    int
-	attempts  int
-	upstreams map[string]int
+	mu           sync.Mutex
+	verdicts     map[Verdict]int
+	outcomes     map[exchange.Outcome]int
+	statuses     map[int]int
+	firstToken   *hdrhistogram.Histogram
+	maxGap       *hdrhistogram.Histogram
+	duration     *hdrhistogram.Histogram
+	promptTokens int
+	cachedTokens int
+	attempts     int
+	upstreams    map[string]int
 }
 
 // NewTally returns an empty tally.
 func NewTally() *Tally {
 	return &Tally{
 		verdicts: map[Verdict]int{}, outcomes: map[exchange.Outcome]int{}, statuses: map[int]int{},
-		upstreams: map[string]int{},
-		first:     newHistogram(), gap: newHistogram(), took: newHistogram(),
+		upstreams:  map[string]int{},
+		firstToken: newHistogram(), maxGap: newHistogram(), duration: newHistogram(),
 	}
 }
 
@@ -45,12 +45,12 @@
 	return hdrhistogram.New(histogramLow, histogramHigh, histogramDigits)
 }
 
-// Add counts one result.
-func (t *Tally) Add(r Result) { t.AddLate(r, 0) }
+// Add adds a result.
+func (t *Tally) Add(r Result) { t.AddDelayed(r, 0) }
 
-// AddLate counts one result whose request was sent later than it was due, by a
-// span that its caller would have waited too.
-func (t *Tally) AddLate(r Result, lateMs clock.Millis) {
+// AddDelayed adds a result whose request was sent late, by the given delay after its scheduled time. The delay is added
+// to the latencies, since the caller would have waited for it too (coordinated omission).
+func (t *Tally) AddDelayed(r Result, delayMs clock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.verdicts[r.Verdict]++
@@ -61,21 +61,22 @@
 		return
 	}
 	t.upstreams[r.Upstream]++
-	t.prompt += r.PromptTokens
-	t.cached += r.CachedTokens
-	record(t.took, r.TookMs+lateMs)
-	if r.FirstMs > 0 {
-		record(t.first, r.FirstMs+lateMs)
-		record(t.gap, r.MaxGapMs)
+	t.promptTokens += r.PromptTokens
+	t.cachedTokens += r.CachedTokens
+	record(t.duration, r.DurationMs+delayMs)
+	if r.FirstTokenMs > 0 {
+		record(t.firstToken, r.FirstTokenMs+delayMs)
+		record(t.maxGap, r.MaxGapMs)
 	}
 }
 
-// record counts a value; the histogram takes all that a deadline allows.
+// record adds a value to a histogram. Values above the histogram's range are recorded as its maximum, which exceeds
+// every deadline.
 func record(h *hdrhistogram.Histogram, value clock.Millis) {
 	_ = h.RecordValue(min(int64(value), histogramHigh))
 }
 
-// Quantiles are points of a distribution in milliseconds.
+// Quantiles holds quantiles of a distribution in milliseconds.
 type Quantiles struct {
 	P50 int64 `json:"p50_ms"`
 	P95 int64 `json:"p95_ms"`
@@ -84,13 +85,13 @@
 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
-	const half, most, nearlyAll = 50, 95, 99
+	const median, p95, p99 = 50, 95, 99
 	return Quantiles{
-		P50: h.ValueAtQuantile(half), P95: h.ValueAtQuantile(most), P99: h.ValueAtQuantile(nearlyAll), Max: h.Max(),
+		P50: h.ValueAtQuantile(median), P95: h.ValueAtQuantile(p95), P99: h.ValueAtQuantile(p99), Max: h.Max(),
 	}
 }
 
-// Summary is a tally in figures.
+// Summary holds the statistics of a tally.
 type Summary struct {
 	Requests  int                      `json:"requests"`
 	Verdicts  map[Verdict]int          `json:"verdicts"`
@@ -101,29 +102,29 @@
 	First     Quantiles                `json:"first_token"`
 	Gap       Quantiles                `json:"longest_gap"`
 	Took      Quantiles                `json:"took"`
-	// Reuse is the part of prompt tokens found warm.
+	// Reuse is the fraction of prompt tokens that were cached.
 	Reuse float64 `json:"reuse"`
 }
 
-// Summary returns the figures so far.
+// Summary returns the current statistics.
 func (t *Tally) Summary() Summary {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := Summary{
-		Verdicts: copied(t.verdicts), Outcomes: copied(t.outcomes), Statuses: copied(t.statuses),
-		Upstreams: copied(t.upstreams), Attempts: t.attempts,
-		First: quantiles(t.first), Gap: quantiles(t.gap), Took: quantiles(t.took),
+		Verdicts: copyCounts(t.verdicts), Outcomes: copyCounts(t.outcomes), Statuses: copyCounts(t.statuses),
+		Upstreams: copyCounts(t.upstreams), Attempts: t.attempts,
+		First: quantiles(t.firstToken), Gap: quantiles(t.maxGap), Took: quantiles(t.duration),
 	}
 	for _, count := range t.verdicts {
 		s.Requests += count
 	}
-	if t.prompt > 0 {
-		s.Reuse = float64(t.cached) / float64(t.prompt)
+	if t.promptTokens > 0 {
+		s.Reuse = float64(t.cachedTokens) / float64(t.promptTokens)
 	}
 	return s
 }
 
-func copied[K comparable](counts map[K]int) map[K]int {
+func copyCounts[K comparable](counts map[K]int) map[K]int {
 	result := make(map[K]int, len(counts))
 	for key, count := range counts {
 		result[key] = count
@@ -131,24 +132,24 @@
 	return result
 }
 
-// Breach is a broken promise.
+// Breach is a violated guarantee and the number of its violations.
 type Breach struct {
-	Promise string `json:"promise"`
-	Count   int    `json:"count"`
+	Description string `json:"promise"`
+	Count       int    `json:"count"`
 }
 
 // String returns the breach as a line of text.
-func (b Breach) String() string { return fmt.Sprintf("%s: %d", b.Promise, b.Count) }
+func (b Breach) String() string { return fmt.Sprintf("%s: %d", b.Description, b.Count) }
 
-// Breaches returns the promises that the answers themselves show as broken.
+// Breaches returns the breaches that can be detected in the answers alone.
 func (s Summary) Breaches() []Breach {
 	breaches := []Breach{}
 	for _, b := range []Breach{
-		{"an incomplete answer looked whole", s.Verdicts[CutAsWhole]},
-		{"an answer held parts of another request's", s.Verdicts[Crossed]},
-		{"an answer held a part twice", s.Verdicts[Doubled]},
-		{"an answer came after its deadline", s.Verdicts[Late]},
-		{"a request ended without any answer", s.Verdicts[Broken]},
+		{"an incomplete answer looked complete", s.Verdicts[CutAsWhole]},
+		{"an answer contained parts of another request's answer", s.Verdicts[Crossed]},
+		{"an answer contained a part twice", s.Verdicts[Doubled]},
+		{"an answer arrived after its deadline", s.Verdicts[Late]},
+		{"a connection failed before the answer ended", s.Verdicts[Broken]},
 	} {
 		if b.Count > 0 {
 			breaches = append(breaches, b)
--- a/internal/load/target.go
+++ b/internal/load/target.go
@@ -6,26 +6,26 @@
 	"dooryard.example/dooryard/internal/localfleet"
 )
 
-// Target is a running fleet that the load tool did not start.
+// Target describes a running fleet that the load generator didn't start.
 type Target struct {
-	// Boxes are the callers' URLs.
+	// Boxes are the base URLs of the boxes for callers.
 	Boxes []string
-	// Key is the bearer key that every request carries.
+	// Key is the bearer key for all requests.
 	Key string
-	// Model and Service are what requests ask for.
+	// Model and Service are the model and the plain service to call.
 	Model, Service string
 }
 
-// Given reports whether a fleet is given.
-func (t Target) Given() bool { return len(t.Boxes) > 0 }
+// IsSet reports whether the target names a fleet.
+func (t Target) IsSet() bool { return len(t.Boxes) > 0 }
 
-// destination is where a run's requests go.
+// destination is the fleet that a run sends its requests to.
 type destination struct {
 	urls           []string
 	key            func(organisation string) string
 	model, service string
 	client         *http.Client
-	// fleet is nil when the run did not start one.
+	// fleet is the fleet that the run started itself, or nil.
 	fleet *localfleet.Fleet
 }
 
@@ -49,7 +49,7 @@
 	return a
 }
 
-// engines are the stand-ins of a fleet of the run's own.
+// engines returns the stand-in engines of the run's own fleet, if any.
 func (a destination) engines() []*localfleet.EngineProcess {
 	if a.fleet == nil {
 		return nil
