--- a/internal/capacity/gossip.go
+++ b/internal/capacity/gossip.go
@@ -48,16 +48,16 @@
 		return r
 	})
 	r.bytes, r.messages = 0, 0
-	began := time.Now()
+	start := time.Now()
 	r.run(gossipMeasure)
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	seconds := float64(gossipMeasure) / float64(clock.Second) * float64(boxes)
 	// Each byte counts twice: one box sends it and another receives it.
 	const bothWays = 2
 	return gossipCost{
 		bytesPerSecond:    bothWays * float64(r.bytes) / seconds,
 		messagesPerSecond: bothWays * float64(r.messages) / seconds,
-		coreShare:         took.Seconds() / seconds,
+		coreShare:         elapsed.Seconds() / seconds,
 		heapBytes:         heap / float64(boxes),
 	}
 }
@@ -77,9 +77,9 @@
 	}
 }
 
-func (r *gossipRun) run(span clock.Millis) {
+func (r *gossipRun) run(duration clock.Millis) {
 	period := membership.DefaultSettings().PeriodMs
-	for end := r.now + span; r.now < end; r.now += period {
+	for end := r.now + duration; r.now < end; r.now += period {
 		for i, node := range r.nodes {
 			if (int(r.now/period)+i)%periodsPerFacts == 0 {
 				node.SetFacts(targetFacts())
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -76,12 +76,12 @@
 	best := math.Inf(1)
 	for range timedRuns {
 		count := 0
-		began := time.Now()
-		for time.Since(began) < timedRunLength {
+		start := time.Now()
+		for time.Since(start) < timedRunLength {
 			call()
 			count++
 		}
-		best = min(best, float64(time.Since(began).Nanoseconds())/float64(count))
+		best = min(best, float64(time.Since(start).Nanoseconds())/float64(count))
 	}
 	return best
 }
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -118,7 +118,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, r.URL+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("chat request: %w", err)
+		return nil, fmt.Errorf("create chat request: %w", err)
 	}
 	request.Header.Set("Authorization", "Bearer "+r.Key)
 	request.Header.Set("Content-Type", "application/json")
--- a/internal/load/demo.go
+++ b/internal/load/demo.go
@@ -252,7 +252,7 @@
 	url := "http://" + d.fleet.Boxes()[0].Addresses().Operators + "/v1/table/edits"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(data))
 	if err != nil {
-		return table.Verdict{}, fmt.Errorf("edit: %w", err)
+		return table.Verdict{}, fmt.Errorf("create edit request: %w", err)
 	}
 	key, err := d.fleet.OperatorsKey()
 	if err != nil {
@@ -261,7 +261,7 @@
 	request.Header.Set("Authorization", "Bearer "+key)
 	response, err := d.fleet.Client().Do(request)
 	if err != nil {
-		return table.Verdict{}, fmt.Errorf("edit: %w", err)
+		return table.Verdict{}, fmt.Errorf("send edit: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	var verdict table.Verdict
--- a/internal/localfleet/control_test.go
+++ b/internal/localfleet/control_test.go
@@ -43,13 +43,13 @@
 // awaitOffset waits until all boxes have read the table up to an offset and returns the time that this took.
 func (tf *testFleet) awaitOffset(offset int64, within clock.Millis) clock.Millis {
 	tf.t.Helper()
-	began := clock.New().Now()
+	start := clock.New().Now()
 	ctx, cancel := context.WithTimeout(tf.t.Context(), within.Duration())
 	defer cancel()
 	for _, b := range tf.Boxes() {
 		require.NoError(tf.t, b.Store().WaitFor(ctx, offset), b.Name)
 	}
-	return clock.New().Now() - began
+	return clock.New().Now() - start
 }
 
 func TestEdits(t *testing.T) {
@@ -217,10 +217,10 @@
 }
 
 // logDownFor returns a function that takes the platform's log down and restores it after the given time.
-func logDownFor(span clock.Millis) func(f *localfleet.Fleet) {
+func logDownFor(duration clock.Millis) func(f *localfleet.Fleet) {
 	return func(f *localfleet.Fleet) {
 		f.Platform.Log.SetFaults(func(faults *standin.LogFaults) { faults.Down = true })
-		time.AfterFunc(span.Duration(), func() {
+		time.AfterFunc(duration.Duration(), func() {
 			f.Platform.Log.SetFaults(func(faults *standin.LogFaults) { faults.Down = false })
 		})
 	}
@@ -399,10 +399,10 @@
 			require.NoError(tf.t, err)
 			// sendFor sends four times as many requests to the first box as to each of the others. It returns the number of
 			// admitted requests.
-			sendFor := func(span clock.Millis) (admitted int) {
+			sendFor := func(duration clock.Millis) (admitted int) {
 				results := make(chan bool, 10_000)
 				sent := 0
-				for end := clock.New().Now() + span; clock.New().Now() < end; tf.wait(50) {
+				for end := clock.New().Now() + duration; clock.New().Now() < end; tf.wait(50) {
 					for box := range 9 {
 						for range 1 + 3*boolInt(box == 0) {
 							sent++
--- a/internal/localfleet/edges_test.go
+++ b/internal/localfleet/edges_test.go
@@ -197,14 +197,14 @@
 func TestDeadlines(t *testing.T) {
 	t.Run("end a request with 504 exactly when they expire", func(t *testing.T) {
 		run(t, func(tf *testFleet) {
-			began := clock.New().Now()
+			start := clock.New().Now()
 			result := tf.chat(0, "s", "a", func(r *load.ChatRequest) {
 				r.DeadlineMs = 500
 				r.Chat.Stream = false
 				r.Chat.MaxTokens = 1000
 			})
 			assert.Equal(tf.t, http.StatusGatewayTimeout, result.Status)
-			assert.Equal(tf.t, clock.Millis(500), clock.New().Now()-began)
+			assert.Equal(tf.t, clock.Millis(500), clock.New().Now()-start)
 		})
 	})
 	t.Run("limit the time in the queue when all slots are taken", func(t *testing.T) {
--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -331,7 +331,7 @@
 	defer cancel()
 	for _, b := range f.Boxes() {
 		if err := b.Store().WaitFor(ctx, 1); err != nil {
-			return fmt.Errorf("box %s: %w", b.Name, err)
+			return fmt.Errorf("wait for the table of box %s: %w", b.Name, err)
 		}
 	}
 	return nil
@@ -370,7 +370,7 @@
 		box.WithClock(f.clock), box.WithLogger(f.logger.With(zap.String("box", settings.Box))),
 		box.WithListen(network.Listen), box.WithListenPackets(network.Packets), box.WithDial(network.Dial))
 	if err != nil {
-		return nil, fmt.Errorf("box %s: %w", settings.Box, err)
+		return nil, fmt.Errorf("create box %s: %w", settings.Box, err)
 	}
 	process := &BoxProcess{
 		Box: b, Name: settings.Box, Domain: settings.FailureDomain, Settings: settings, done: make(chan error, 1),
--- a/internal/localfleet/fleet_test.go
+++ b/internal/localfleet/fleet_test.go
@@ -75,7 +75,7 @@
 	})
 }
 
-func (tf *testFleet) wait(span clock.Millis) { _ = clock.New().Sleep(tf.t.Context(), span) }
+func (tf *testFleet) wait(duration clock.Millis) { _ = clock.New().Sleep(tf.t.Context(), duration) }
 
 func (tf *testFleet) url(box int) string { return "http://" + tf.Boxes()[box].Addresses().Callers }
 
--- a/internal/localfleet/histories_test.go
+++ b/internal/localfleet/histories_test.go
@@ -75,8 +75,8 @@
 	h.outcomes[key] = append(h.outcomes[key], result)
 }
 
-// play sends requests and injects faults at random times, and then waits until all have ended.
-func (h *history) play() {
+// execute sends requests and injects faults at random times, and then waits until all have ended.
+func (h *history) execute() {
 	group := sync.WaitGroup{}
 	for number := range historyKeys * historyCalls {
 		at, box := clock.Millis(h.random.IntN(historySpanMs)), h.random.IntN(3)
@@ -135,7 +135,7 @@
 			h := &history{
 				testFleet: tf, random: rand.New(rand.NewPCG(uint64(seed), 1)), outcomes: map[string][]load.Result{},
 			}
-			h.play()
+			h.execute()
 			h.check(seed)
 			for _, results := range h.outcomes {
 				for _, r := range results {
--- a/internal/routebench/grants.go
+++ b/internal/routebench/grants.go
@@ -7,11 +7,11 @@
 
 // owners holds the grant ledger and the session directory of each box, for the engines that the box owns.
 type owners struct {
-	ledgers     []*grant.Ledger
-	directories []*grant.Directory
-	questions   int
-	forced      int
-	news        int
+	ledgers          []*grant.Ledger
+	directories      []*grant.Directory
+	questions        int
+	forced           int
+	placementUpdates int
 }
 
 func newOwners(boxes int) *owners {
@@ -33,8 +33,8 @@
 
 func sessionOf(s *session) grant.Session { return grant.Session(s.key) }
 
-// pickGrants searches for an engine whose owner grants the request. If no owner does, it picks the least loaded of the
-// engines that were asked for.
+// pickGrants searches for an engine whose owner grants the request. If no owner does, it picks the engine that exceeds
+// its load bound by the smallest excess.
 func pickGrants(r *run, box int, s *session) int {
 	first, open := r.ranked(box, s)
 	search := grant.NewSearch(first, open, s.turn == 0)
@@ -98,14 +98,14 @@
 	return grant.Reply{Granted: granted, Over: over}
 }
 
-// notifyOwner informs the owner of the session's first choice where the session was placed.
+// notifyOwner informs the owner of the session's first choice where the session was placed, if it doesn't know yet.
 func (r *run) notifyOwner(search *grant.Search, place grant.Place, s *session) {
 	directory := r.owners.directories[r.ownerOf(positionOf(search.First()))]
 	switch {
 	case place == search.First():
 		directory.Remove(sessionOf(s))
 	case search.News(place):
-		r.owners.news++
+		r.owners.placementUpdates++
 		directory.Set(sessionOf(s), place)
 	}
 }
