--- /dev/null
+++ b/internal/soak/disturbances.go
@@ -0,0 +1,56 @@
+package soak
+
+import "time"
+
+// allBoxes is the name under which disturbances of all boxes are recorded, such as store faults.
+const allBoxes = ""
+
+// interval is a time during which something was disturbed. It is open while its end is zero.
+type interval struct {
+	from, to time.Time
+}
+
+// disturbances records by name when boxes and servers were disturbed.
+type disturbances map[string][]*interval
+
+// begin records that name is disturbed from now on. The caller sets the end of the returned
+// interval.
+func (d disturbances) begin(name string, now time.Time) *interval {
+	s := &interval{from: now}
+	d[name] = append(d[name], s)
+	return s
+}
+
+// undisturbed reports whether name was undisturbed during the whole given time.
+func (d disturbances) undisturbed(name string, from, to time.Time) bool {
+	for _, s := range d[name] {
+		if s.from.Before(to) && (s.to.IsZero() || s.to.After(from)) {
+			return false
+		}
+	}
+	return true
+}
+
+// disturb records that a box, a server or all boxes are disturbed from now on. The returned
+// function records the end.
+func (f *fleet) disturb(name string) (end func()) {
+	h := f.history
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	s := h.disturbances.begin(name, time.Now())
+	return func() {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		s.to = time.Now()
+	}
+}
+
+// withDisturbance records that name is disturbed until the returned function ends the fault. It
+// passes err through.
+func withDisturbance(f *fleet, name string, end func(f *fleet) error, err error) (func(f *fleet) error, error) {
+	endDisturbance := f.disturb(name)
+	return func(f *fleet) error {
+		defer endDisturbance()
+		return end(f)
+	}, err
+}
--- /dev/null
+++ b/internal/soak/history.go
@@ -0,0 +1,225 @@
+package soak
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"dooryard.example/dooryard/platform/standin"
+)
+
+// violation is a violated guarantee.
+type violation struct {
+	Guarantee string
+	Request   string
+	Detail    string
+}
+
+func (f violation) String() string {
+	return fmt.Sprintf("%s: request %s: %s", f.Guarantee, f.Request, f.Detail)
+}
+
+// history records what clients and servers observed.
+type history struct {
+	mu       sync.Mutex
+	runs     map[string][]standin.Run
+	outcomes []standin.Outcome
+	// tenants maps each current or former key to its tenant.
+	tenants map[string]string
+	// revoked maps a key to the time at which the store acknowledged its removal.
+	revoked map[string]time.Time
+	// served counts successful requests by kind.
+	served map[string]int
+	// draining maps a server to the time at which the store acknowledged its draining entry.
+	draining     map[string]time.Time
+	disturbances disturbances
+	// replacements are the intervals from the replacement of a server's entry by another
+	// writer until the server rewrote its own.
+	replacements map[string][]*interval
+	// arrivals are the requests that reached the server they were addressed to.
+	arrivals []standin.Arrival
+	// crashes are the times at which servers crashed under the fatal request.
+	crashes []time.Time
+	// timed is set if time bounds are checked too.
+	timed bool
+}
+
+func newHistory() *history {
+	return &history{
+		runs: map[string][]standin.Run{}, tenants: map[string]string{}, revoked: map[string]time.Time{},
+		served: map[string]int{}, draining: map[string]time.Time{}, disturbances: disturbances{},
+		replacements: map[string][]*interval{},
+	}
+}
+
+func (h *history) recordRun(run standin.Run) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.runs[run.RequestID] = append(h.runs[run.RequestID], run)
+}
+
+func (h *history) recordOutcome(o standin.Outcome) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.outcomes = append(h.outcomes, o)
+}
+
+func (h *history) recordKey(key, tenant string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.tenants[key] = tenant
+}
+
+func (h *history) recordRevocation(key string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.revoked[key] = time.Now()
+}
+
+func (h *history) recordDraining(server string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.draining[server] = time.Now()
+}
+
+// check returns the violated guarantees. It must be called after everything has stopped, so that
+// no request can still run later.
+func (h *history) check() []violation {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	violations := []violation{}
+	known := map[string]bool{}
+	for _, o := range h.outcomes {
+		known[o.ID] = true
+		violations = append(violations, h.checkOutcome(o)...)
+	}
+	for id := range h.runs {
+		if !known[id] {
+			violations = append(violations, violation{"no run without a request", id, "a server ran it"})
+		}
+	}
+	violations = append(violations, h.checkFatal()...)
+	return append(violations, h.checkSignals()...)
+}
+
+func (h *history) checkOutcome(o standin.Outcome) []violation {
+	runs := h.runs[o.ID]
+	violations := []violation{}
+	violated := func(guarantee, format string, arguments ...any) {
+		violations = append(violations, violation{guarantee, o.ID, fmt.Sprintf(format, arguments...)})
+	}
+	atMostOnce := o.Kind == standin.Unsafe || o.Kind == standin.Stream
+	if atMostOnce && len(runs) > 1 {
+		violated("at most one run", "%s ran %d times", o.Kind, len(runs))
+	}
+	if atMostOnce && meansNotRun(o.Status) && len(runs) > 0 {
+		violated("no run after a not-run status", "%s got %d and ran at %s", o.Kind, o.Status, runs[0].Server)
+	}
+	if o.Status == http.StatusOK && o.Whole {
+		h.served[o.Kind]++
+		if !o.Sound() {
+			violated("complete answer to its own request", "%s got %q, seal %q", o.Kind, o.Answer, o.Seal)
+		}
+		if len(runs) == 0 {
+			violated("complete answer to its own request", "no server ran it")
+		}
+	}
+	for _, run := range runs {
+		violations = append(violations, h.checkRun(o, run)...)
+	}
+	return violations
+}
+
+func (h *history) checkRun(o standin.Outcome, run standin.Run) []violation {
+	violations := []violation{}
+	violated := func(guarantee, format string, arguments ...any) {
+		violations = append(violations, violation{guarantee, o.ID, fmt.Sprintf(format, arguments...)})
+	}
+	if run.Key || run.Forged != "" {
+		violated("no key or forged header reaches a server", "key forwarded: %v, forged: %q", run.Key, run.Forged)
+	}
+	if want, known := h.tenants[o.Key]; !known || run.Tenant != want {
+		violated("tenant of the key", "ran as %q with a key of %q", run.Tenant, want)
+	}
+	if at, isRevoked := h.revoked[o.Key]; isRevoked && o.Sent.Sub(at) > RevocationBoundMs*time.Millisecond {
+		violated("revocation", "ran, though sent %s after its key's removal", o.Sent.Sub(at))
+	}
+	if run.DeadlineMs > o.DeadlineMs {
+		violated("deadline", "the server got %d ms of %d", run.DeadlineMs, o.DeadlineMs)
+	}
+	if late := h.lateAfterReplacement(o, run); late > 0 {
+		violated("no new work after entry replacement", "%s ran it %s after its entry was replaced", run.Server, late)
+	}
+	if late := h.lateAfterDraining(o, run); late > 0 {
+		violated("no new work after draining entry", "%s ran it %s after its draining entry", run.Server, late)
+	}
+	return violations
+}
+
+const (
+	// maxPropagation is how long boxes may still send new work to a server that drains, or
+	// whose entry was replaced.
+	maxPropagation = 2 * time.Second
+	// undisturbedSpan is how long a box must have been undisturbed for that bound to apply.
+	undisturbedSpan = 3 * time.Second
+	// timingSlack allows for scheduling delays of the machine that runs the soak.
+	timingSlack = 300 * time.Millisecond
+)
+
+// lateAfterDraining returns how long after a server's draining entry an undisturbed box sent it
+// a request, or 0 if that is within the bound.
+func (h *history) lateAfterDraining(o standin.Outcome, run standin.Run) time.Duration {
+	at, draining := h.draining[run.Server]
+	late := run.Began.Sub(at)
+	if !h.timed || !draining || late <= maxPropagation+timingSlack {
+		return 0
+	}
+	for _, name := range []string{allBoxes, o.Box, run.Server} {
+		if !h.disturbances.undisturbed(name, at.Add(-undisturbedSpan), run.Began) {
+			return 0
+		}
+	}
+	return late
+}
+
+// lateAfterReplacement returns how long after another writer replaced a server's entry an
+// undisturbed box sent the server a request, or 0 if that is within the bound.
+func (h *history) lateAfterReplacement(o standin.Outcome, run standin.Run) time.Duration {
+	for _, s := range h.replacements[run.Server] {
+		late := run.Began.Sub(s.from)
+		if !h.timed || late <= maxPropagation+timingSlack || !s.to.IsZero() && run.Began.After(s.to) {
+			continue
+		}
+		undisturbed := true
+		for _, name := range []string{allBoxes, o.Box, run.Server} {
+			undisturbed = undisturbed && h.disturbances.undisturbed(name, s.from.Add(-undisturbedSpan), run.Began)
+		}
+		if undisturbed {
+			return late
+		}
+	}
+	return 0
+}
+
+// recordReplacement records that another writer replaced a server's entry. The returned function
+// records that the server rewrote its own.
+func (h *history) recordReplacement(server string) (end func()) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	s := &interval{from: time.Now()}
+	h.replacements[server] = append(h.replacements[server], s)
+	return func() {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		s.to = time.Now()
+	}
+}
+
+func meansNotRun(status int) bool {
+	return slices.Contains([]int{
+		http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout,
+		http.StatusMisdirectedRequest,
+	}, status)
+}
