--- a/internal/balance/largefleet_test.go
+++ b/internal/balance/largefleet_test.go
@@ -83,7 +83,7 @@
 // send sends a request from a random box, and reports whether it went to an engine above the bound.
 func (f *largeFleet) send(t *testing.T, k requestKind, session string) (overBound bool) {
 	t.Helper()
-	lease, err := f.boxes[f.random.IntN(len(f.boxes))].PickPlace(Ask{
+	lease, err := f.boxes[f.random.IntN(len(f.boxes))].PickWithPermit(Ask{
 		Pool: "p", Sticky: true, Prompt: prompt.Prompt{{ID: session, Tokens: k.tokens}, {ID: "own", Tokens: 300}},
 	}, f.acquirePermit)
 	require.NoError(t, err)
@@ -123,20 +123,20 @@
 const messageLossPercent = 2
 
 // acquirePermit requests a permit as a box does.
-func (f *largeFleet) acquirePermit(lease *Lease, bound int) Place {
+func (f *largeFleet) acquirePermit(lease *Lease, bound int) PermitReply {
 	lost := func() bool { return f.random.IntN(percent) < messageLossPercent }
 	f.permitRequests++
-	h := occupancy.Holder{Number: f.permitRequests}
+	h := occupancy.PermitID{Number: f.permitRequests}
 	release := func() {
 		if !lost() {
 			f.ledger.Release(h)
 		}
 	}
 	if lost() {
-		return Place{Granted: true, Release: release}
+		return PermitReply{Granted: true, Release: release}
 	}
-	granted := f.ledger.Take(h, lease.Key(), bound)
-	return Place{Granted: granted || lost(), Release: release}
+	granted := f.ledger.Acquire(h, lease.Key(), bound)
+	return PermitReply{Granted: granted || lost(), Release: release}
 }
 
 // gossipRunning informs each box once a second approximately how many requests all boxes run.
--- a/internal/balance/permits.go
+++ b/internal/balance/permits.go
@@ -17,17 +17,17 @@
 // regardless of its load.
 const maxPermitRefusals = 4
 
-// Place is an owner's response to a permit request.
-type Place struct {
+// PermitReply is an owner's response to a permit request.
+type PermitReply struct {
 	// Granted is set unless the engine has reached its bound.
 	Granted bool
 	// Release returns the permit; nil if there is none to return.
 	Release func()
 }
 
-// PickPlace picks like Pick, and requests a permit at each engine until one is granted.
+// PickWithPermit picks like Pick, and requests a permit at each engine until one is granted.
 // AcquirePermit requests a permit under a bound from the owner of the lease's engine.
-func (m *Manager) PickPlace(a Ask, acquirePermit func(lease *Lease, bound int) Place) (*Lease, error) {
+func (m *Manager) PickWithPermit(a Ask, acquirePermit func(lease *Lease, bound int) PermitReply) (*Lease, error) {
 	for {
 		lease, err := m.Pick(a)
 		if err != nil || lease.bound == 0 {
--- a/internal/balance/permits_test.go
+++ b/internal/balance/permits_test.go
@@ -19,13 +19,13 @@
 	released int
 }
 
-func (owner *fakeOwner) acquire(lease *Lease, bound int) Place {
+func (owner *fakeOwner) acquire(lease *Lease, bound int) PermitReply {
 	owner.upstreams = append(owner.upstreams, lease.ID)
 	owner.bounds = append(owner.bounds, bound)
 	if len(owner.upstreams) <= owner.refusals {
-		return Place{}
+		return PermitReply{}
 	}
-	return Place{Granted: true, Release: func() { owner.released++ }}
+	return PermitReply{Granted: true, Release: func() { owner.released++ }}
 }
 
 // inLargeFleet returns a fixture whose box knows how many requests all boxes run in the pool.
@@ -39,7 +39,7 @@
 func TestPickPlace(t *testing.T) {
 	t.Run("requests a permit under the multiple of the mean load of all boxes", func(t *testing.T) {
 		f, owner := inLargeFleet(t, 120), &fakeOwner{}
-		lease, err := f.PickPlace(sticky("s"), owner.acquire)
+		lease, err := f.PickWithPermit(sticky("s"), owner.acquire)
 		require.NoError(t, err)
 		assert.Equal(t, []int{17}, owner.bounds, "1.4 times 10, the request itself, and a slack of two")
 		lease.Release(Succeeded)
@@ -48,7 +48,7 @@
 	})
 	t.Run("continues with the session's next engine when a permit is refused", func(t *testing.T) {
 		f, owner := inLargeFleet(t, 120), &fakeOwner{refusals: 2}
-		lease, err := f.PickPlace(sticky("s"), owner.acquire)
+		lease, err := f.PickWithPermit(sticky("s"), owner.acquire)
 		require.NoError(t, err)
 		assert.Equal(t, 2, lease.Rank)
 		assert.Len(t, f.InFlight(), 1, "refused picks are undone")
@@ -58,41 +58,41 @@
 		f, owner := inLargeFleet(t, 120), &fakeOwner{refusals: 1}
 		request := sticky("s")
 		request.Transfers = true
-		lease, err := f.PickPlace(request, owner.acquire)
+		lease, err := f.PickWithPermit(request, owner.acquire)
 		require.NoError(t, err)
 		assert.Equal(t, f.byID[owner.upstreams[0]].Address, lease.FetchFrom)
 	})
 	t.Run("a refused pick keeps the known cache contents of the engine", func(t *testing.T) {
 		f, owner := inLargeFleet(t, 120), &fakeOwner{}
-		lease, err := f.PickPlace(sticky("s"), owner.acquire)
+		lease, err := f.PickWithPermit(sticky("s"), owner.acquire)
 		require.NoError(t, err)
 		first := lease.Member
 		lease.Release(Succeeded)
 		f.now += 2 * reannounceMs
 		refused := &fakeOwner{refusals: 1}
-		lease, err = f.PickPlace(sticky("s"), refused.acquire)
+		lease, err = f.PickWithPermit(sticky("s"), refused.acquire)
 		require.NoError(t, err)
 		assert.NotEqual(t, first, lease.Member)
 		assert.Equal(t, 1000, first.parts.cachedTokens(lease.shared, f.now))
 	})
 	t.Run("requests only a few permits, and then uses the next engine regardless of its load", func(t *testing.T) {
 		f, owner := inLargeFleet(t, 120), &fakeOwner{refusals: maxPermitRefusals}
-		_, err := f.PickPlace(sticky("s"), owner.acquire)
+		_, err := f.PickWithPermit(sticky("s"), owner.acquire)
 		require.NoError(t, err)
 		assert.Len(t, owner.upstreams, maxPermitRefusals+1)
 		assert.Equal(t, math.MaxInt16, owner.bounds[maxPermitRefusals])
 	})
 	t.Run("requests no permit in a small fleet or for requests that any upstream serves", func(t *testing.T) {
 		f, owner := newFixture(t, 12), &fakeOwner{}
-		_, err := f.PickPlace(sticky("s"), owner.acquire)
+		_, err := f.PickWithPermit(sticky("s"), owner.acquire)
 		require.NoError(t, err)
-		_, err = inLargeFleet(t, 120).PickPlace(Ask{Pool: "p"}, owner.acquire)
+		_, err = inLargeFleet(t, 120).PickWithPermit(Ask{Pool: "p"}, owner.acquire)
 		require.NoError(t, err)
 		assert.Empty(t, owner.upstreams)
 	})
 	t.Run("returns an error if no upstream accepts the request", func(t *testing.T) {
 		f, owner := inLargeFleet(t, 120), &fakeOwner{}
-		_, err := f.PickPlace(Ask{Pool: "none"}, owner.acquire)
+		_, err := f.PickWithPermit(Ask{Pool: "none"}, owner.acquire)
 		require.ErrorIs(t, err, ErrNoUpstream)
 	})
 }
--- a/internal/balance/retryafter.go
+++ b/internal/balance/retryafter.go
@@ -83,11 +83,11 @@
 	return delay
 }
 
-// ComeBackMs returns how long a caller that is refused now should wait before it retries: until the
+// RetryAfterMs returns how long a caller that is refused now should wait before it retries: until the
 // first upstream of the pool may be available, or until capacity becomes free. Each caller gets a
 // time of its own, lower priority numbers first. If requests complete every 10 ms, at most two of
 // 50 callers that are refused together retry within any 20 ms.
-func (m *Manager) ComeBackMs(pool string, priority int) clock.Millis {
+func (m *Manager) RetryAfterMs(pool string, priority int) clock.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.steady()
--- a/internal/balance/signals.go
+++ b/internal/balance/signals.go
@@ -10,15 +10,15 @@
 
 // Errors of the check right before a request is sent.
 var (
-	// ErrAtRest means that the upstream asked this box to back off.
-	ErrAtRest = errors.New("the upstream asked this box to back off")
-	// ErrLeaving means that the upstream is about to shut down.
-	ErrLeaving = errors.New("the upstream is draining")
+	// ErrBackingOff means that the upstream asked this box to back off.
+	ErrBackingOff = errors.New("the upstream asked this box to back off")
+	// ErrDraining means that the upstream is about to shut down.
+	ErrDraining = errors.New("the upstream is draining")
 )
 
-// AllRestError means that upstreams would accept the request, but all of them are backing off. It
+// AllBackingOffError means that upstreams would accept the request, but all of them are backing off. It
 // wraps ErrNoUpstream.
-type AllRestError struct {
+type AllBackingOffError struct {
 	// Upstreams is the number of upstreams that are backing off.
 	Upstreams int
 	// NextUpstream is the upstream whose backoff ends first, in RetryInMs. RefusedRequest is the
@@ -29,13 +29,13 @@
 }
 
 // Error implements error.
-func (e *AllRestError) Error() string {
+func (e *AllBackingOffError) Error() string {
 	return fmt.Sprintf("%v: %d upstreams are backing off; %s is first, in %d ms, as asked in the refusal of request %s",
 		ErrNoUpstream, e.Upstreams, e.NextUpstream, e.RetryInMs, e.RefusedRequest)
 }
 
 // Unwrap returns ErrNoUpstream.
-func (*AllRestError) Unwrap() error { return ErrNoUpstream }
+func (*AllBackingOffError) Unwrap() error { return ErrNoUpstream }
 
 // upstreamSignals are the backoff and draining signals that an upstream sent to this box in its
 // responses. They belong to its incarnation: changes of its registry entry, its health and its load
@@ -82,11 +82,11 @@
 // refuses reports whether the upstream accepts no new requests from this box.
 func (m *Member) refuses(now clock.Millis) bool { return m.draining() || m.signals.backingOff(now) }
 
-// Rest records that the upstream asked this box in the refusal of a request to back off for a
+// BackOff records that the upstream asked this box in the refusal of a request to back off for a
 // duration, and reports whether it was not backing off before. The latest end applies. Afterwards
 // the upstream receives single trial requests, as after an ejection, until one is answered: all
 // requests that wait for the end of a backoff would overload it again.
-func (l *Lease) Rest(duration clock.Millis, request string) bool {
+func (l *Lease) BackOff(duration clock.Millis, request string) bool {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
 	now := l.manager.steady()
@@ -103,9 +103,9 @@
 	return changed
 }
 
-// Leave records that the upstream announced its shutdown, and reports whether that was not known
+// MarkDraining records that the upstream announced its shutdown, and reports whether that was not known
 // before.
-func (l *Lease) Leave() bool {
+func (l *Lease) MarkDraining() bool {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
 	changed := !l.draining()
@@ -120,16 +120,16 @@
 	defer l.manager.mu.Unlock()
 	switch {
 	case l.draining():
-		return ErrLeaving
+		return ErrDraining
 	case l.signals.backingOff(l.manager.steady()):
-		return ErrAtRest
+		return ErrBackingOff
 	default:
 		return nil
 	}
 }
 
-// Resting returns the number of upstreams that are backing off, by pool. Zeros are omitted.
-func (m *Manager) Resting() map[string]int {
+// BackingOff returns the number of upstreams that are backing off, by pool. Zeros are omitted.
+func (m *Manager) BackingOff() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now, counts := m.steady(), map[string]int{}
@@ -190,7 +190,7 @@
 
 // noUpstreamError returns the reason for which no upstream of a pool accepts a request.
 func (m *Manager) noUpstreamError(pool string, now clock.Millis) error {
-	e := &AllRestError{}
+	e := &AllBackingOffError{}
 	for _, member := range m.pools[pool] {
 		if member.draining() || !member.signals.backingOff(now) {
 			continue
--- a/internal/balance/signals_test.go
+++ b/internal/balance/signals_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	f = newFixture(t, count).withStartTimes()
 	first = f.pick(t, sticky("s"))
-	first.Rest(backoffMs, "r")
+	first.BackOff(backoffMs, "r")
 	first.Release(Neutral)
 	return f, first
 }
@@ -57,15 +57,15 @@
 	})
 	t.Run("the latest end of a backoff applies", func(t *testing.T) {
 		f, first := newBackoffFixture(t, 3)
-		first.Rest(backoffMs/2, "later")
+		first.BackOff(backoffMs/2, "later")
 		f.now += backoffMs - 1
 		assertReceivesRequests(t, f, first.ID, false)
 	})
 	t.Run("a backoff is reported as new once", func(t *testing.T) {
 		f, first := newBackoffFixture(t, 3)
-		assert.False(t, first.Rest(backoffMs, "again"))
+		assert.False(t, first.BackOff(backoffMs, "again"))
 		f.now += backoffMs
-		assert.True(t, first.Rest(backoffMs, "again"))
+		assert.True(t, first.BackOff(backoffMs, "again"))
 	})
 	t.Run("a backoff applies even if the other upstreams are ejected", func(t *testing.T) {
 		f, first := newBackoffFixture(t, 3)
@@ -101,7 +101,7 @@
 	t.Run("a restart ends a backoff that was certainly requested before", func(t *testing.T) {
 		f := newFixture(t, 3).withStartTimes()
 		first := f.pick(t, sticky("s"))
-		first.Rest(10*backoffMs, "r")
+		first.BackOff(10*backoffMs, "r")
 		first.Release(Neutral)
 		f.now += maxRestartLagMs + 1
 		assertReceivesRequests(t, f, first.ID, false)
@@ -123,8 +123,8 @@
 		one, two := f.pick(t, sticky("s")), f.pick(t, sticky("s"))
 		require.Equal(t, one.ID, two.ID)
 		require.NoError(t, two.MaySend())
-		one.Rest(backoffMs, "r")
-		require.ErrorIs(t, two.MaySend(), ErrAtRest)
+		one.BackOff(backoffMs, "r")
+		require.ErrorIs(t, two.MaySend(), ErrBackingOff)
 		f.now += backoffMs
 		require.NoError(t, two.MaySend())
 	})
@@ -135,7 +135,7 @@
 		first := f.pick(t, ask)
 		first.Answered()
 		first.Release(Succeeded)
-		first.Rest(backoffMs, "r")
+		first.BackOff(backoffMs, "r")
 		elsewhere := f.pick(t, ask)
 		assert.Empty(t, elsewhere.FetchFrom)
 		assert.Equal(t, Reading{Tokens: 1000, Why: PrefillEngineUnreachable}, elsewhere.Reading)
@@ -154,11 +154,11 @@
 		one, two := f.pick(t, sticky("s")), f.pick(t, sticky("s"))
 		require.Equal(t, one.ID, two.ID)
 		f.SetUpstreams(nil)
-		one.Rest(backoffMs, "r")
+		one.BackOff(backoffMs, "r")
 		f.SetUpstreams(f.list)
 		assertReceivesRequests(t, f, one.ID, false)
 		f.now += backoffMs
-		two.Rest(backoffMs, "r")
+		two.BackOff(backoffMs, "r")
 		assertReceivesRequests(t, f, one.ID, false)
 	})
 	t.Run("a backoff by the next incarnation before the previous entry was gone is inherited", func(t *testing.T) {
@@ -166,7 +166,7 @@
 		first := f.pick(t, sticky("s"))
 		first.Release(Unreachable)
 		f.now += clock.Second
-		first.Rest(backoffMs, "r")
+		first.BackOff(backoffMs, "r")
 		f.SetUpstreams(nil)
 		f.now += clock.Second
 		f.restart(first.ID)
@@ -183,7 +183,7 @@
 		first.Release(Unreachable)
 		f.now += clock.Second
 		next := &Lease{Member: first.Member, manager: f.Manager, path: first.path}
-		next.Rest(backoffMs, "r")
+		next.BackOff(backoffMs, "r")
 		f.now += clock.Second
 		f.restart(first.ID)
 		assertReceivesRequests(t, f, first.ID, false)
@@ -207,7 +207,7 @@
 		f := newFixture(t, len(durations))
 		for i, duration := range durations {
 			l := f.pick(t, Ask{Pool: "p"})
-			l.Rest(duration, fmt.Sprint("r", i))
+			l.BackOff(duration, fmt.Sprint("r", i))
 			l.Release(Neutral)
 		}
 		return f
@@ -217,40 +217,40 @@
 		f.now += 500
 		_, err := f.Pick(Ask{Pool: "p"})
 		require.ErrorIs(t, err, ErrNoUpstream)
-		var all *AllRestError
+		var all *AllBackingOffError
 		require.ErrorAs(t, err, &all)
 		assert.Equal(t, 3, all.Upstreams)
 		assert.EqualValues(t, 1500, all.RetryInMs)
 		assert.Equal(t, "r1", all.RefusedRequest)
-		assert.Equal(t, map[string]int{"p": 3}, f.Resting())
+		assert.Equal(t, map[string]int{"p": 3}, f.BackingOff())
 	})
 	t.Run("callers retry one after the other once the first backoff ends", func(t *testing.T) {
 		f := newBackoffPool(t, 8000, 7000)
 		last := clock.Millis(0)
 		for range 50 {
-			duration := f.ComeBackMs("p", 0)
+			duration := f.RetryAfterMs("p", 0)
 			assert.Greater(t, duration, max(7000, last))
 			last = duration
 		}
 	})
 	t.Run("the delay is bounded by a minute and the retry queue", func(t *testing.T) {
 		f := newBackoffPool(t, 24*60*60*clock.Second)
-		assert.LessOrEqual(t, f.ComeBackMs("p", 0), maxAvailabilityDelayMs+maxRetryAfterMs)
+		assert.LessOrEqual(t, f.RetryAfterMs("p", 0), maxAvailabilityDelayMs+maxRetryAfterMs)
 	})
 	t.Run("callers retry soon if one upstream is available", func(t *testing.T) {
 		f := newBackoffPool(t, 8000)
 		f.list = append(f.list, registry.Upstream{ID: "new", Pool: "p", Address: "127.0.0.1:50", FailureDomain: "d0", Slots: 8})
 		f.SetUpstreams(f.list)
-		assert.Less(t, f.ComeBackMs("p", 0), clock.Second)
+		assert.Less(t, f.RetryAfterMs("p", 0), clock.Second)
 	})
 	t.Run("the backoff of a draining upstream is not waited for", func(t *testing.T) {
 		f := newBackoffPool(t, 8000, 2000)
 		for _, member := range f.pools["p"] {
 			if member.signals.backoffUntilMs-f.now == 2000 {
-				(&Lease{Member: member, manager: f.Manager}).Leave()
+				(&Lease{Member: member, manager: f.Manager}).MarkDraining()
 			}
 		}
-		assert.Greater(t, f.ComeBackMs("p", 0), clock.Millis(8000))
+		assert.Greater(t, f.RetryAfterMs("p", 0), clock.Millis(8000))
 	})
 }
 
@@ -259,15 +259,15 @@
 		t.Helper()
 		f := newFixture(t, 4).withStartTimes()
 		l := f.pick(t, sticky("s"))
-		assert.True(t, l.Leave())
-		assert.False(t, l.Leave(), "already known")
+		assert.True(t, l.MarkDraining())
+		assert.False(t, l.MarkDraining(), "already known")
 		return f, l
 	}
 	t.Run("a draining upstream receives no more requests", func(t *testing.T) {
 		f, l := newDrainingFixture(t)
 		assertReceivesRequests(t, f, l.ID, false)
 		assert.Equal(t, SkipDraining, f.pick(t, sticky("s")).Passed.Why)
-		require.ErrorIs(t, l.MaySend(), ErrLeaving)
+		require.ErrorIs(t, l.MaySend(), ErrDraining)
 	})
 	t.Run("a change of its entry does not end draining", func(t *testing.T) {
 		f, l := newDrainingFixture(t)
@@ -286,7 +286,7 @@
 		l := f.pick(t, sticky("s"))
 		f.list[0].Draining = true
 		f.SetUpstreams(f.list)
-		assert.False(t, l.Leave())
+		assert.False(t, l.MarkDraining())
 	})
 	t.Run("parts that it caches are fetched until it is gone", func(t *testing.T) {
 		f, l := newDrainingFixture(t)
--- a/internal/box/engines.go
+++ b/internal/box/engines.go
@@ -67,7 +67,7 @@
 		return
 	}
 	b.pools.Report(row.Name, load.InFlight)
-	b.pools.ReportState(row.Name, load.Leaving, load.Models)
+	b.pools.ReportState(row.Name, load.Draining, load.Models)
 }
 
 func (b *Box) engineClient(row *table.Upstream) engine.Client {
--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -136,7 +136,7 @@
 	draining := b.fleet.drainingUpstreams
 	b.fleet.mu.Unlock()
 	b.updateMembers()
-	b.pools.SetFleet(pool.Fleet{Boxes: b.gossip.Live(), Leaving: draining})
+	b.pools.SetFleet(pool.Fleet{Boxes: b.gossip.Live(), Draining: draining})
 	b.picker.Refresh()
 	b.admit.Poke()
 }
--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -94,10 +94,10 @@
 	Err    string
 	// Next is the next step: another attempt, or the reason why there is none.
 	Next string
-	// AskedRestMs is the backoff that the upstream asked of this box, or 0.
-	AskedRestMs clock.Millis
-	// Leaving is set when the upstream announced that it is shutting down.
-	Leaving bool
+	// BackoffMs is the backoff that the upstream asked of this box, or 0.
+	BackoffMs clock.Millis
+	// Draining is set when the upstream announced that it is shutting down.
+	Draining bool
 	TookMs  clock.Millis
 }
 
@@ -119,10 +119,10 @@
 	}
 	addIfSet(o, "error", e.Err)
 	o.AddString("next", e.Next)
-	if e.AskedRestMs > 0 {
-		o.AddInt64("asked_rest_ms", int64(e.AskedRestMs))
+	if e.BackoffMs > 0 {
+		o.AddInt64("asked_rest_ms", int64(e.BackoffMs))
 	}
-	if e.Leaving {
+	if e.Draining {
 		o.AddBool("leaving", true)
 	}
 	o.AddInt64("took_ms", int64(e.TookMs))
@@ -299,34 +299,34 @@
 	return nil
 }
 
-// UpstreamAsked records the first response in which an upstream asked this box to back off
+// UpstreamSignaled records the first response in which an upstream asked this box to back off
 // or announced its shutdown.
-type UpstreamAsked struct {
+type UpstreamSignaled struct {
 	Upstream string
 	Pool     string
-	// RestMs is the requested backoff, or 0 if the upstream is shutting down.
-	RestMs clock.Millis
+	// BackoffMs is the requested backoff, or 0 if the upstream is shutting down.
+	BackoffMs clock.Millis
 	// AnswerTo is the id of the request whose response carried the signal.
 	AnswerTo string
 }
 
 // Name implements Event.
-func (e UpstreamAsked) Name() string {
-	if e.RestMs > 0 {
+func (e UpstreamSignaled) Name() string {
+	if e.BackoffMs > 0 {
 		return "upstream asks for rest"
 	}
 	return "upstream says it leaves"
 }
 
 // Routine implements Event.
-func (UpstreamAsked) Routine() bool { return false }
+func (UpstreamSignaled) Routine() bool { return false }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (e UpstreamAsked) MarshalLogObject(o zapcore.ObjectEncoder) error {
+func (e UpstreamSignaled) MarshalLogObject(o zapcore.ObjectEncoder) error {
 	o.AddString("upstream", e.Upstream)
 	o.AddString("pool", e.Pool)
-	if e.RestMs > 0 {
-		o.AddInt64("rest_ms", int64(e.RestMs))
+	if e.BackoffMs > 0 {
+		o.AddInt64("rest_ms", int64(e.BackoffMs))
 	}
 	o.AddString("answer_to", e.AnswerTo)
 	return nil
--- a/internal/gateway/feedback.go
+++ b/internal/gateway/feedback.go
@@ -6,23 +6,23 @@
 	"dooryard.example/dooryard/internal/opaque"
 )
 
-// handleFeedback processes what an upstream reports about itself in response headers: its load, that it asks this box
+// handleSignals processes what an upstream reports about itself in response headers: its load, that it asks this box
 // for a rest period without requests, or that it is draining. It logs the start of a rest period, and draining once.
-func (b *Box) handleFeedback(request string, lease *balance.Lease, feedback opaque.Word) {
-	if feedback.TellsLoad {
-		lease.Report(feedback.Holds)
+func (b *Box) handleSignals(request string, lease *balance.Lease, feedback opaque.Signals) {
+	if feedback.HasLoad {
+		lease.Report(feedback.InFlight)
 	}
 	if feedback.Err != nil {
 		b.Ignored("response headers of upstream "+lease.ID, feedback.Err)
 	}
-	event := decision.UpstreamAsked{Upstream: lease.Incarnation(), Pool: lease.Pool, AnswerTo: request}
-	if feedback.Leaving && lease.Leave() {
+	event := decision.UpstreamSignaled{Upstream: lease.Incarnation(), Pool: lease.Pool, AnswerTo: request}
+	if feedback.Draining && lease.MarkDraining() {
 		b.metrics.DrainingAnnounced()
 		b.log.Tell(event)
 	}
-	if feedback.RestMs > 0 && lease.Rest(feedback.RestMs, request) {
+	if feedback.BackoffMs > 0 && lease.BackOff(feedback.BackoffMs, request) {
 		b.metrics.RestRequested()
-		event.RestMs = feedback.RestMs
+		event.BackoffMs = feedback.BackoffMs
 		b.log.Tell(event)
 	}
 }
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -27,7 +27,7 @@
 func dialect() *opaque.Dialect {
 	return &opaque.Dialect{
 		RequestID: "X-Id", DeadlineMs: "X-Deadline", Organisation: "X-Organisation", ExpectUpstream: "X-Expect",
-		NotRun: "X-Not-Run", Word: decodeFeedback, ToBox: []string{"X-Load", "X-Not-Run"}, Urgency: "X-Urgency", Prompt: "X-Prompt", LastEventID: "Last-Event-Id",
+		NotRun: "X-Not-Run", DecodeSignals: decodeSignals, ToBox: []string{"X-Load", "X-Not-Run"}, Urgency: "X-Urgency", Prompt: "X-Prompt", LastEventID: "Last-Event-Id",
 		FetchFrom: "X-Fetch", Reserved: []string{"X-Reserved"},
 		Key:        func(h http.Header) string { return h.Get("Authorization") },
 		RetryAfter: func(span clock.Millis) string { return strconv.FormatInt(int64(span), 10) + "ms" },
@@ -40,14 +40,14 @@
 	headerLeaving = "X-Leaving"
 )
 
-// decodeFeedback decodes what an upstream reports about itself in response headers.
-func decodeFeedback(_ int, header http.Header) opaque.Word {
+// decodeSignals decodes what an upstream reports about itself in response headers.
+func decodeSignals(_ int, header http.Header) opaque.Signals {
 	holds, err := strconv.Atoi(header.Get("X-Load"))
-	w := opaque.Word{Leaving: header.Get(headerLeaving) != "", Holds: holds, TellsLoad: err == nil}
+	w := opaque.Signals{Draining: header.Get(headerLeaving) != "", InFlight: holds, HasLoad: err == nil}
 	if value := header.Get(headerRestMs); value != "" {
 		var restMs int
 		restMs, w.Err = strconv.Atoi(value)
-		w.RestMs = clock.Millis(restMs)
+		w.BackoffMs = clock.Millis(restMs)
 	}
 	return w
 }
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -54,7 +54,7 @@
 		dispatch: dispatch.New(dispatch.Dependencies{
 			Pick: b.pick, MayRetry: b.budgets.Take, FirstSend: b.budgets.First,
 			AgeMs: b.routingState.AgeMs, Tell: b.log.Tell, Reads: b.metrics.PromptTokensRead,
-			ComeBack: b.balance.ComeBackMs, Hear: b.handleFeedback, Observe: b.crashes.observe,
+			RetryAfter: b.balance.RetryAfterMs, OnSignals: b.handleSignals, Observe: b.crashes.observe,
 			Whole: b.crashes.handleCompleted, HeldMs: b.quarantine.HeldMs, Vouch: b.checkBeforeSend, Clock: b.clock,
 		}),
 		record: record.New(b.log.Tell, b.metrics.RequestEnded, b.routingState.AgeMs, b.clock.Steady),
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -92,16 +92,16 @@
 	// directPeers is the number of peers that sent a message themselves. The others are known only
 	// because another box named them.
 	directPeers int
-	leaving     bool
+	draining     bool
 	// toPing holds the boxes that are still to be pinged in this cycle.
 	toPing     []string
 	ignored    int64
 	sentBytes  int64
 	sendErrors int64
 
-	pendingSlots slotRequests
-	// slotTimeouts counts slot requests that no owner answered in time.
-	slotTimeouts int64
+	pendingPermits permitRequests
+	// permitTimeouts counts slot requests that no owner answered in time.
+	permitTimeouts int64
 }
 
 // Dependencies are what a Mesh needs from its box.
@@ -142,7 +142,7 @@
 		cachedParts: d.KeptSince, learnCachedParts: d.LearnKept,
 		endings: d.EndingsSince, learnEndings: d.LearnEndings, onAnswer: d.Answered,
 		random: d.Random, peers: map[string]*peer{},
-		pendingSlots: slotRequests{nextNumber: d.Random.Uint32(), pending: map[uint32]chan bool{}},
+		pendingPermits: permitRequests{nextNumber: d.Random.Uint32(), pending: map[uint32]chan bool{}},
 	}
 }
 
@@ -168,8 +168,8 @@
 		if err != nil {
 			return
 		}
-		if isSlotMessage(buffer[:n]) {
-			m.handleSlotMessage(buffer[:n], from)
+		if isPermitMessage(buffer[:n]) {
+			m.handlePermitMessage(buffer[:n], from)
 			continue
 		}
 		p, err := decode(buffer[:n])
@@ -248,7 +248,7 @@
 	p := &packet{Type: t, From: m.self, AskedMs: askedMs, Knowledge: m.knowledge(), InFlight: m.inFlight()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p.Leaving = m.leaving
+	p.Draining = m.draining
 	if m.largeLocked() {
 		// Each box is heard from only once in minutes, so loads by upstream would be outdated.
 		p.InFlight, p.Running = nil, m.running()
@@ -333,10 +333,10 @@
 	m.broadcast(func(*peer) bool { return !m.largeLocked() })
 }
 
-// Leave notifies all boxes that this box is about to stop. The box continues to answer.
-func (m *Mesh) Leave() {
+// BroadcastDraining notifies all boxes that this box is about to stop. The box continues to answer.
+func (m *Mesh) BroadcastDraining() {
 	m.mu.Lock()
-	m.leaving = true
+	m.draining = true
 	m.mu.Unlock()
 	m.broadcast(func(*peer) bool { return true })
 }
@@ -364,10 +364,10 @@
 	Ignored    int64 `json:"datagrams_ignored"`
 	SendErrors int64 `json:"datagrams_unsent"`
 	SentBytes  int64 `json:"datagram_bytes_sent"`
-	// Places are the slots that this box counts as an owner. SlotTimeouts counts this box's slot
+	// Permits are the slots that this box counts as an owner. SlotTimeouts counts this box's slot
 	// requests that no owner answered in time.
-	Places       occupancy.Sizes `json:"places"`
-	SlotTimeouts int64           `json:"places_unanswered"`
+	Permits       occupancy.Sizes `json:"places"`
+	PermitTimeouts int64           `json:"places_unanswered"`
 }
 
 // Sizes returns counts for metrics.
@@ -377,6 +377,6 @@
 	return Sizes{
 		Boxes: 1 + m.aliveCountLocked(m.clock.Steady()), Ignored: m.ignored,
 		SendErrors: m.sendErrors, SentBytes: m.sentBytes,
-		Places: m.ledger.Sizes(), SlotTimeouts: m.slotTimeouts,
+		Permits: m.ledger.Sizes(), PermitTimeouts: m.permitTimeouts,
 	}
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -222,7 +222,7 @@
 			advance(f.t, 2*time.Second)
 			for _, b := range f.boxes {
 				if b.IsSource() {
-					b.Leave()
+					b.BroadcastDraining()
 					break
 				}
 			}
@@ -238,7 +238,7 @@
 			three.setInFlight(loads{"u": 3, "v": 1})
 			advance(f.t, time.Second)
 			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.Others())
-			three.Leave()
+			three.BroadcastDraining()
 			advance(f.t, time.Second)
 			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.Others(), "a leaving box finishes its requests")
 			three.stop()
--- a/internal/mesh/packet.go
+++ b/internal/mesh/packet.go
@@ -67,8 +67,8 @@
 	Knowledge Knowledge    `cbor:"4,keyasint"`
 	// InFlight is the sender's requests in flight, by upstream.
 	InFlight map[namekey.Key]int `cbor:"5,keyasint,omitempty"`
-	// Leaving is set once the sender is about to stop.
-	Leaving bool `cbor:"6,keyasint,omitempty"`
+	// Draining is set once the sender is about to stop.
+	Draining bool `cbor:"6,keyasint,omitempty"`
 	// Known names a few other boxes.
 	Known []Identity `cbor:"7,keyasint,omitempty"`
 	// CachedParts are prompt parts that the sender's requests put into engine caches and that it
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -19,7 +19,7 @@
 	knowledge   Knowledge
 	inFlight    map[namekey.Key]int
 	running     map[namekey.Key]int
-	leaving     bool
+	draining     bool
 	// unacked is the number of pings sent since the box's last message.
 	unacked int
 	// sentCachedParts is the sequence number of the next cached prompt part to send to the box.
@@ -42,7 +42,7 @@
 	}
 	updated := &peer{
 		Identity: p.From, lastSeenMs: now, firstSeenMs: now, knowledge: p.Knowledge, inFlight: p.InFlight,
-		running: p.Running, leaving: p.Leaving,
+		running: p.Running, draining: p.Draining,
 	}
 	if known != nil && known.Incarnation == p.From.Incarnation && known.firstSeenMs > 0 {
 		updated.firstSeenMs, updated.sentCachedParts = known.firstSeenMs, known.sentCachedParts
@@ -206,7 +206,7 @@
 
 // alive reports whether the box is alive and not leaving.
 func (p *peer) alive(now, aliveTimeout clock.Millis) bool {
-	return p.firstSeenMs > 0 && !p.leaving && now-p.lastSeenMs < aliveTimeout
+	return p.firstSeenMs > 0 && !p.draining && now-p.lastSeenMs < aliveTimeout
 }
 
 // samplePeersLocked returns a few live boxes. In a large fleet half of them are owners of
@@ -289,7 +289,7 @@
 	now := m.clock.Steady()
 	reporting, boxes := 1, 1
 	for _, p := range m.peers {
-		if !p.leaving {
+		if !p.draining {
 			boxes++
 		}
 		if p.firstSeenMs == 0 || now-p.lastSeenMs >= window {
@@ -343,7 +343,7 @@
 	defer m.mu.Unlock()
 	aliveTimeout := m.aliveTimeoutLocked()
 	for _, p := range m.peers {
-		if p.firstSeenMs > 0 && !p.leaving && now-p.lastSeenMs >= aliveTimeout {
+		if p.firstSeenMs > 0 && !p.draining && now-p.lastSeenMs >= aliveTimeout {
 			return true
 		}
 	}
--- a/internal/mesh/slots.go
+++ b/internal/mesh/slots.go
@@ -21,27 +21,27 @@
 // different owners. Each owner then counts only a part of the requests, and the bound is looser
 // until the views agree.
 
-// slotTimeoutMs is how long a box waits for an owner's answer. It covers many round trips between
+// permitTimeoutMs is how long a box waits for an owner's answer. It covers many round trips between
 // failure domains and is small compared to the time that a caller waits.
-const slotTimeoutMs clock.Millis = 20
+const permitTimeoutMs clock.Millis = 20
 
-// slotMessageKind distinguishes slot messages.
-type slotMessageKind uint8
+// permitMessageKind distinguishes slot messages.
+type permitMessageKind uint8
 
 const (
-	// slotAcquire requests a slot at an upstream, subject to a bound.
-	slotAcquire slotMessageKind = 1
-	// slotGranted and slotDenied answer a slotAcquire message.
-	slotGranted slotMessageKind = 2
-	slotDenied  slotMessageKind = 3
-	// slotRelease releases a slot.
-	slotRelease slotMessageKind = 4
+	// permitAcquire requests a slot at an upstream, subject to a bound.
+	permitAcquire permitMessageKind = 1
+	// permitGranted and slotDenied answer a slotAcquire message.
+	permitGranted permitMessageKind = 2
+	permitDenied  permitMessageKind = 3
+	// permitRelease releases a slot.
+	permitRelease permitMessageKind = 4
 )
 
-// slotMessage is one datagram about a slot.
-type slotMessage struct {
+// permitMessage is one datagram about a slot.
+type permitMessage struct {
 	_    struct{} `cbor:",toarray"`
-	Kind slotMessageKind
+	Kind permitMessageKind
 	// Number is the request number that the requesting box chose.
 	Number   uint32
 	Upstream namekey.Key
@@ -54,27 +54,27 @@
 
 const cborMajorMask = 0xe0
 
-func isSlotMessage(data []byte) bool { return len(data) > 0 && data[0]&cborMajorMask == cborArray }
+func isPermitMessage(data []byte) bool { return len(data) > 0 && data[0]&cborMajorMask == cborArray }
 
-func decodeSlotMessage(data []byte) (slotMessage, error) {
-	var p slotMessage
+func decodePermitMessage(data []byte) (permitMessage, error) {
+	var p permitMessage
 	if err := cbor.Unmarshal(data, &p); err != nil {
 		return p, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
-	if p.Kind < slotAcquire || p.Kind > slotRelease || p.Bound < 0 {
+	if p.Kind < permitAcquire || p.Kind > permitRelease || p.Bound < 0 {
 		return p, fmt.Errorf("%w: slot message: kind %d, bound %d", ErrInvalid, p.Kind, p.Bound)
 	}
 	return p, nil
 }
 
-// slotRequests are this box's slot requests that wait for an answer.
-type slotRequests struct {
+// permitRequests are this box's slot requests that wait for an answer.
+type permitRequests struct {
 	mu         sync.Mutex
 	nextNumber uint32
 	pending    map[uint32]chan bool
 }
 
-func (r *slotRequests) start() (number uint32, answer chan bool) {
+func (r *permitRequests) start() (number uint32, answer chan bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.nextNumber++
@@ -83,14 +83,14 @@
 	return r.nextNumber, answer
 }
 
-func (r *slotRequests) finish(number uint32) {
+func (r *permitRequests) finish(number uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.pending, number)
 }
 
 // resolve delivers an answer to the waiting request. Late answers are discarded.
-func (r *slotRequests) resolve(number uint32, granted bool) {
+func (r *permitRequests) resolve(number uint32, granted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if answer := r.pending[number]; answer != nil {
@@ -99,10 +99,10 @@
 	}
 }
 
-// TakePlace requests a slot at an upstream, subject to a bound, from the owner of the upstream in a
+// AcquirePermit requests a slot at an upstream, subject to a bound, from the owner of the upstream in a
 // failure domain. The slot is also granted when no owner answers in time. The returned function
 // releases the slot.
-func (m *Mesh) TakePlace(
+func (m *Mesh) AcquirePermit(
 	ctx context.Context, upstream namekey.Key, failureDomain string, bound int,
 ) (granted bool, release func()) {
 	owner, known := m.owner(upstream, failureDomain)
@@ -110,34 +110,34 @@
 		return true, nil
 	}
 	if owner.Box == m.self.Box {
-		return m.acquireLocalSlot(upstream, bound)
+		return m.acquireLocalPermit(upstream, bound)
 	}
-	number, answer := m.pendingSlots.start()
-	defer m.pendingSlots.finish(number)
-	m.sendSlotMessage(owner.Address, slotMessage{Kind: slotAcquire, Number: number, Upstream: upstream, Bound: bound})
+	number, answer := m.pendingPermits.start()
+	defer m.pendingPermits.finish(number)
+	m.sendPermitMessage(owner.Address, permitMessage{Kind: permitAcquire, Number: number, Upstream: upstream, Bound: bound})
 	timedOut := make(chan struct{})
-	timer := m.clock.AfterFunc(slotTimeoutMs, func() { close(timedOut) })
+	timer := m.clock.AfterFunc(permitTimeoutMs, func() { close(timedOut) })
 	defer timer.Stop()
 	granted = true
 	select {
 	case granted = <-answer:
 	case <-timedOut:
-		m.recordSlotTimeout()
+		m.recordPermitTimeout()
 	case <-ctx.Done():
 	}
 	if !granted {
 		return false, nil
 	}
 	// Even without an answer the owner may have received the request and counted the slot.
-	return true, func() { m.sendSlotMessage(owner.Address, slotMessage{Kind: slotRelease, Number: number}) }
+	return true, func() { m.sendPermitMessage(owner.Address, permitMessage{Kind: permitRelease, Number: number}) }
 }
 
-// acquireLocalSlot acquires a slot at an upstream that this box owns.
-func (m *Mesh) acquireLocalSlot(upstream namekey.Key, bound int) (granted bool, release func()) {
-	number, _ := m.pendingSlots.start()
-	m.pendingSlots.finish(number)
-	h := occupancy.Holder{Box: m.self.Address, Number: number}
-	if !m.ledger.Take(h, upstream, bound) {
+// acquireLocalPermit acquires a slot at an upstream that this box owns.
+func (m *Mesh) acquireLocalPermit(upstream namekey.Key, bound int) (granted bool, release func()) {
+	number, _ := m.pendingPermits.start()
+	m.pendingPermits.finish(number)
+	h := occupancy.PermitID{Box: m.self.Address, Number: number}
+	if !m.ledger.Acquire(h, upstream, bound) {
 		return false, nil
 	}
 	return true, func() { m.ledger.Release(h) }
@@ -178,7 +178,7 @@
 		list = append(list, hashedIdentity{Identity: m.self, hash: route.HashName(m.self.Box)})
 	}
 	for _, p := range m.peers {
-		if p.FailureDomain == failureDomain && !p.leaving && now-p.lastSeenMs < aliveTimeout {
+		if p.FailureDomain == failureDomain && !p.draining && now-p.lastSeenMs < aliveTimeout {
 			list = append(list, hashedIdentity{Identity: p.Identity, hash: route.HashName(p.Box)})
 		}
 	}
@@ -202,33 +202,33 @@
 	return all[:min(count, len(all))]
 }
 
-// handleSlotMessage processes a datagram about a slot.
-func (m *Mesh) handleSlotMessage(data []byte, from net.Addr) {
-	p, err := decodeSlotMessage(data)
+// handlePermitMessage processes a datagram about a slot.
+func (m *Mesh) handlePermitMessage(data []byte, from net.Addr) {
+	p, err := decodePermitMessage(data)
 	if err != nil {
 		m.mu.Lock()
 		m.ignored++
 		m.mu.Unlock()
 		return
 	}
-	h := occupancy.Holder{Box: from.String(), Number: p.Number}
+	h := occupancy.PermitID{Box: from.String(), Number: p.Number}
 	switch p.Kind {
-	case slotAcquire:
-		answer := slotMessage{Kind: slotDenied, Number: p.Number}
-		if m.ledger.Take(h, p.Upstream, p.Bound) {
-			answer.Kind = slotGranted
+	case permitAcquire:
+		answer := permitMessage{Kind: permitDenied, Number: p.Number}
+		if m.ledger.Acquire(h, p.Upstream, p.Bound) {
+			answer.Kind = permitGranted
 		}
-		m.sendSlotMessage(from.String(), answer)
-	case slotGranted, slotDenied:
-		m.pendingSlots.resolve(p.Number, p.Kind == slotGranted)
-	case slotRelease:
+		m.sendPermitMessage(from.String(), answer)
+	case permitGranted, permitDenied:
+		m.pendingPermits.resolve(p.Number, p.Kind == permitGranted)
+	case permitRelease:
 		m.ledger.Release(h)
 	}
 }
 
-// sendSlotMessage sends a datagram about a slot. A failure is counted and otherwise treated like
+// sendPermitMessage sends a datagram about a slot. A failure is counted and otherwise treated like
 // packet loss.
-func (m *Mesh) sendSlotMessage(address string, p slotMessage) {
+func (m *Mesh) sendPermitMessage(address string, p permitMessage) {
 	data, err := cbor.Marshal(p)
 	sent := 0
 	if err == nil {
@@ -237,12 +237,12 @@
 	m.recordSent(sent, err)
 }
 
-func (m *Mesh) recordSlotTimeout() {
+func (m *Mesh) recordPermitTimeout() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.slotTimeouts++
+	m.permitTimeouts++
 }
 
-// ExpirePlaces removes slots whose release message was lost. It must be called at least once a
+// ExpirePermits removes slots whose release message was lost. It must be called at least once a
 // second.
-func (m *Mesh) ExpirePlaces() { m.ledger.Expire() }
+func (m *Mesh) ExpirePermits() { m.ledger.Expire() }
--- a/internal/mesh/slots_test.go
+++ b/internal/mesh/slots_test.go
@@ -47,7 +47,7 @@
 func (f *fixture) acquireAll(upstream string, bound int) (granted int, release func()) {
 	releases := []func(){}
 	for _, b := range f.boxes {
-		ok, releaseSlot := b.TakePlace(f.t.Context(), namekey.Of(upstream), "d1", bound)
+		ok, releaseSlot := b.AcquirePermit(f.t.Context(), namekey.Of(upstream), "d1", bound)
 		if ok {
 			granted++
 			releases = append(releases, releaseSlot)
@@ -64,8 +64,8 @@
 func (f *fixture) slots() int {
 	sum := 0
 	for _, b := range f.boxes {
-		b.ExpirePlaces()
-		sum += b.Sizes().Places.Places
+		b.ExpirePermits()
+		sum += b.Sizes().Permits.Permits
 	}
 	return sum
 }
@@ -83,7 +83,7 @@
 		advance(t, time.Minute)
 		assert.Zero(t, f.slots(), "an owner expires slots whose release message was lost")
 
-		ok, release := f.boxes[0].TakePlace(t.Context(), namekey.Of("u"), "nowhere", 0)
+		ok, release := f.boxes[0].AcquirePermit(t.Context(), namekey.Of("u"), "nowhere", 0)
 		assert.True(t, ok, "slots are granted in a failure domain without boxes")
 		assert.Nil(t, release)
 		sum := 0
@@ -95,11 +95,11 @@
 		requester := f.boxes[0]
 		f.network.SetCut(func(from, to string) bool { return from == requester.self.Box || to == requester.self.Box })
 		start := time.Now()
-		ok, release = requester.TakePlace(t.Context(), namekey.Of("u"), "d1", 0)
+		ok, release = requester.AcquirePermit(t.Context(), namekey.Of("u"), "d1", 0)
 		assert.True(t, ok, "a box whose request is not answered gets a slot")
-		assert.LessOrEqual(t, time.Since(start), 2*slotTimeoutMs.Duration(), "within the timeout")
+		assert.LessOrEqual(t, time.Since(start), 2*permitTimeoutMs.Duration(), "within the timeout")
 		release()
-		assert.Equal(t, int64(1), requester.Sizes().SlotTimeouts)
+		assert.Equal(t, int64(1), requester.Sizes().PermitTimeouts)
 	})
 }
 
@@ -123,16 +123,16 @@
 
 func TestSlotMessages(t *testing.T) {
 	t.Run("are small", func(t *testing.T) {
-		for _, p := range []slotMessage{
-			{Kind: slotAcquire, Number: 1 << 31, Upstream: 1 << 31, Bound: 300},
-			{Kind: slotGranted, Number: 1 << 31},
-			{Kind: slotRelease, Number: 1 << 31},
+		for _, p := range []permitMessage{
+			{Kind: permitAcquire, Number: 1 << 31, Upstream: 1 << 31, Bound: 300},
+			{Kind: permitGranted, Number: 1 << 31},
+			{Kind: permitRelease, Number: 1 << 31},
 		} {
 			data, err := cbor.Marshal(p)
 			require.NoError(t, err)
 			assert.LessOrEqual(t, len(data), 16)
-			assert.True(t, isSlotMessage(data))
-			read, err := decodeSlotMessage(data)
+			assert.True(t, isPermitMessage(data))
+			read, err := decodePermitMessage(data)
 			require.NoError(t, err)
 			assert.Equal(t, p, read)
 		}
@@ -140,14 +140,14 @@
 	t.Run("are distinguished from other datagrams", func(t *testing.T) {
 		data, err := (&packet{Type: typePing}).encode()
 		require.NoError(t, err)
-		assert.False(t, isSlotMessage(data))
-		assert.False(t, isSlotMessage(nil))
+		assert.False(t, isPermitMessage(data))
+		assert.False(t, isPermitMessage(nil))
 	})
 	for name, data := range map[string][]byte{
 		"truncated after one element": {0x84, 1}, "of an unknown kind": {0x84, 9, 1, 1, 1}, "with a negative bound": {0x84, 1, 1, 1, 0x20},
 	} {
 		t.Run("a message "+name+" is rejected", func(t *testing.T) {
-			_, err := decodeSlotMessage(data)
+			_, err := decodePermitMessage(data)
 			require.ErrorIs(t, err, ErrInvalid)
 		})
 	}
--- a/internal/occupancy/occupancy.go
+++ b/internal/occupancy/occupancy.go
@@ -15,8 +15,8 @@
 // the effect of a lost release message.
 const permitTTLMs = 20 * clock.Second
 
-// Holder identifies a permit: the box that requested it, and a number that the box assigned.
-type Holder struct {
+// PermitID identifies a permit: the box that requested it, and a number that the box assigned.
+type PermitID struct {
 	Box    string
 	Number uint32
 }
@@ -31,17 +31,17 @@
 	steady func() clock.Millis
 
 	mu      sync.Mutex
-	permits map[Holder]permit
+	permits map[PermitID]permit
 	counts  map[namekey.Key]int
 }
 
 // New returns an empty ledger.
 func New(steady func() clock.Millis) *Ledger {
-	return &Ledger{steady: steady, permits: map[Holder]permit{}, counts: map[namekey.Key]int{}}
+	return &Ledger{steady: steady, permits: map[PermitID]permit{}, counts: map[namekey.Key]int{}}
 }
 
-// Take grants a permit at an upstream unless the bound is reached, and reports whether it did.
-func (l *Ledger) Take(h Holder, upstream namekey.Key, bound int) bool {
+// Acquire grants a permit at an upstream unless the bound is reached, and reports whether it did.
+func (l *Ledger) Acquire(h PermitID, upstream namekey.Key, bound int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.remove(h)
@@ -54,13 +54,13 @@
 }
 
 // Release returns a permit, if it is held.
-func (l *Ledger) Release(h Holder) {
+func (l *Ledger) Release(h PermitID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.remove(h)
 }
 
-func (l *Ledger) remove(h Holder) {
+func (l *Ledger) remove(h PermitID) {
 	p, found := l.permits[h]
 	if !found {
 		return
@@ -93,12 +93,12 @@
 // Sizes holds counts for metrics.
 type Sizes struct {
 	Upstreams int `json:"upstreams"`
-	Places    int `json:"places"`
+	Permits    int `json:"places"`
 }
 
 // Sizes returns counts for metrics.
 func (l *Ledger) Sizes() Sizes {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Sizes{Upstreams: len(l.counts), Places: len(l.permits)}
+	return Sizes{Upstreams: len(l.counts), Permits: len(l.permits)}
 }
--- a/internal/occupancy/occupancy_test.go
+++ b/internal/occupancy/occupancy_test.go
@@ -12,19 +12,19 @@
 func TestLedger(t *testing.T) {
 	now := clock.Millis(1000)
 	upstream := namekey.Of("u")
-	first, second := Holder{Box: "a", Number: 1}, Holder{Box: "b", Number: 1}
+	first, second := PermitID{Box: "a", Number: 1}, PermitID{Box: "b", Number: 1}
 	newLedger := func() *Ledger { return New(func() clock.Millis { return now }) }
 	t.Run("not more permits are granted than the bound", func(t *testing.T) {
 		l := newLedger()
-		assert.True(t, l.Take(first, upstream, 1))
-		assert.False(t, l.Take(second, upstream, 1))
+		assert.True(t, l.Acquire(first, upstream, 1))
+		assert.False(t, l.Acquire(second, upstream, 1))
 		l.Release(first)
-		assert.True(t, l.Take(second, upstream, 1))
+		assert.True(t, l.Acquire(second, upstream, 1))
 	})
 	t.Run("a permit that is requested twice counts once", func(t *testing.T) {
 		l := newLedger()
-		l.Take(first, upstream, 5)
-		l.Take(first, upstream, 5)
+		l.Acquire(first, upstream, 5)
+		l.Acquire(first, upstream, 5)
 		assert.Equal(t, 1, l.InUse(upstream))
 		l.Release(first)
 		l.Release(first)
@@ -33,7 +33,7 @@
 	})
 	t.Run("a permit whose release was lost expires", func(t *testing.T) {
 		l := newLedger()
-		l.Take(first, upstream, 5)
+		l.Acquire(first, upstream, 5)
 		now += permitTTLMs - 1
 		l.Expire()
 		assert.Equal(t, 1, l.InUse(upstream))
--- a/internal/opaque/dialect.go
+++ b/internal/opaque/dialect.go
@@ -24,8 +24,8 @@
 	ExpectUpstream string
 	// NotRun is set on responses of upstreams that did not run any part of the request.
 	NotRun string
-	// Word decodes the status that an upstream reports about itself in the header of a response.
-	Word func(status int, header http.Header) Word
+	// DecodeSignals decodes the status that an upstream reports about itself in the header of a response.
+	DecodeSignals func(status int, header http.Header) Signals
 	// ToBox lists response headers that are addressed to the box and are not forwarded to the
 	// caller.
 	ToBox []string
--- a/internal/opaque/refusal.go
+++ b/internal/opaque/refusal.go
@@ -33,7 +33,7 @@
 	BodyLate       Cause = "body_late"
 	BoxFull        Cause = "box_full"
 	NoUpstream     Cause = "no_upstream"
-	AtRest         Cause = "upstreams_at_rest"
+	UpstreamsBackingOff         Cause = "upstreams_at_rest"
 	Shed           Cause = "upstreams_refused"
 	Quarantined    Cause = "quarantined"
 	UpstreamLost   Cause = "upstream_lost"
@@ -93,7 +93,7 @@
 	BodyLate:       "the body did not arrive in time; nothing ran",
 	BoxFull:        "this box holds as many requests as it can",
 	NoUpstream:     "no upstream serves this now; nothing ran",
-	AtRest:         "the upstreams asked for rest; nothing ran",
+	UpstreamsBackingOff:         "the upstreams asked for rest; nothing ran",
 	Shed:           "the upstreams refused; nothing ran",
 	Quarantined:    "upstreams ended under this request each time it came; it is held back, nothing ran",
 	UpstreamLost:   "the upstream's answer was lost; the request may have run",
--- a/internal/pipe/dispatch/attempt.go
+++ b/internal/pipe/dispatch/attempt.go
@@ -35,7 +35,7 @@
 func (s *retryLoop) attempt(lease *balance.Lease) *failure {
 	s.attempts++
 	s.attemptStartedMs = s.pipe.deps.Clock.Steady()
-	s.signals = opaque.Word{}
+	s.signals = opaque.Signals{}
 	s.request.Upstream = lease.ID
 	s.logPicked(lease)
 	ctx, cancel := context.WithCancelCause(s.ctx)
@@ -50,8 +50,8 @@
 	}
 	defer resp.Close()
 	s.request.Sent++
-	s.noteSignals(lease, resp)
-	if resp.StatusCode < http.StatusInternalServerError && s.signals.RestMs == 0 {
+	s.handleSignals(lease, resp)
+	if resp.StatusCode < http.StatusInternalServerError && s.signals.BackoffMs == 0 {
 		lease.Answered()
 	}
 	failed := s.relay(lease, resp, cancel)
@@ -65,14 +65,14 @@
 	return failed
 }
 
-// noteSignals decodes and reports the signals in the response headers. It ignores those of a
+// handleSignals decodes and reports the signals in the response headers. It ignores those of a
 // misdirected request: they describe the upstream that now has the address, not the selected one.
-func (s *retryLoop) noteSignals(lease *balance.Lease, resp *upstream.Answer) {
+func (s *retryLoop) handleSignals(lease *balance.Lease, resp *upstream.Answer) {
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
-	s.signals = s.request.Dialect.Word(resp.StatusCode, resp.Header)
-	s.pipe.deps.Hear(s.request.ID, lease, s.signals)
+	s.signals = s.request.Dialect.DecodeSignals(resp.StatusCode, resp.Header)
+	s.pipe.deps.OnSignals(s.request.ID, lease, s.signals)
 }
 
 // startFirstByteTimeout cancels an attempt without response headers while another upstream could
@@ -111,7 +111,7 @@
 		s.request.MayHaveRun = true
 	}
 	switch {
-	case s.ctx.Err() != nil || errors.Is(err, balance.ErrAtRest) || errors.Is(err, balance.ErrLeaving):
+	case s.ctx.Err() != nil || errors.Is(err, balance.ErrBackingOff) || errors.Is(err, balance.ErrDraining):
 		lease.Release(balance.Neutral)
 	case errors.Is(err, upstream.ErrUnreachable):
 		lease.Release(balance.Unreachable)
@@ -128,7 +128,7 @@
 	switch {
 	case failed == nil:
 		return balance.Succeeded
-	case s.signals.RestMs > 0:
+	case s.signals.BackoffMs > 0:
 		return balance.Neutral
 	case failed.execution == wrongUpstream:
 		return balance.Unreachable
--- a/internal/pipe/dispatch/dispatch.go
+++ b/internal/pipe/dispatch/dispatch.go
@@ -29,10 +29,10 @@
 	Tell func(e decision.Event)
 	// Reads counts the tokens of shared prompt parts that an engine likely has to process, by reason.
 	Reads func(why string, tokens int)
-	// ComeBack returns the Retry-After of a refused request.
-	ComeBack func(pool string, priority int) clock.Millis
-	// Hear handles the backoff, shutdown and load signals in the headers of an upstream's response.
-	Hear func(request string, lease *balance.Lease, said opaque.Word)
+	// RetryAfter returns the Retry-After of a refused request.
+	RetryAfter func(pool string, priority int) clock.Millis
+	// OnSignals handles the backoff, shutdown and load signals in the headers of an upstream's response.
+	OnSignals func(request string, lease *balance.Lease, said opaque.Signals)
 	// Observe handles evidence that an upstream may have crashed.
 	Observe func(o Observation)
 	// Whole records that a request with this fingerprint got a complete response.
@@ -102,7 +102,7 @@
 	// attemptStartedMs is the start time of the latest attempt.
 	attemptStartedMs clock.Millis
 	// signals are the backoff, shutdown and load signals of the latest response.
-	signals opaque.Word
+	signals opaque.Signals
 }
 
 // lastFailureOr returns the latest failure, or f if there is none.
@@ -132,7 +132,7 @@
 		Request: s.request.ID, Fingerprint: s.request.Fingerprint.String(), Upstream: lease.ID,
 		Attempt: s.attempts, Proof: string(failed.execution),
 		Status: failed.status(), Err: errorText(failed.err), Next: string(verdict),
-		AskedRestMs: s.signals.RestMs, Leaving: s.signals.Leaving, TookMs: s.pipe.deps.Clock.Steady() - s.attemptStartedMs,
+		BackoffMs: s.signals.BackoffMs, Draining: s.signals.Draining, TookMs: s.pipe.deps.Clock.Steady() - s.attemptStartedMs,
 	})
 	return verdict == retryAllowed
 }
@@ -192,8 +192,8 @@
 		return opaque.NewRefusal(http.StatusGatewayTimeout, opaque.DeadlineSpent, 0, failed.err)
 	case r.MayHaveRun:
 		return opaque.NewRefusal(http.StatusBadGateway, opaque.UpstreamLost, 0, failed.err)
-	case allAskedForBackoff(failed.err):
-		return opaque.NewRefusal(opaque.NotRunStatus, opaque.AtRest, s.retryAfterMs(), failed.err)
+	case allBackingOff(failed.err):
+		return opaque.NewRefusal(opaque.NotRunStatus, opaque.UpstreamsBackingOff, s.retryAfterMs(), failed.err)
 	case errors.Is(failed.err, balance.ErrNoUpstream) || failed.execution == notSent:
 		return opaque.NewRefusal(opaque.NotRunStatus, opaque.NoUpstream, s.retryAfterMs(), failed.err)
 	default:
@@ -201,15 +201,15 @@
 	}
 }
 
-// allAskedForBackoff reports whether the only upstreams that could take the request have asked this
+// allBackingOff reports whether the only upstreams that could take the request have asked this
 // box to back off. The request is then refused at once instead of waiting for the first backoff to
 // end: backoffs last seconds, longer than the latency objective of most requests.
-func allAskedForBackoff(err error) bool {
-	var rest *balance.AllRestError
+func allBackingOff(err error) bool {
+	var rest *balance.AllBackingOffError
 	return errors.As(err, &rest)
 }
 
 // retryAfterMs returns the Retry-After of a refusal.
 func (s *retryLoop) retryAfterMs() clock.Millis {
-	return s.pipe.deps.ComeBack(s.request.Pool, s.request.Priority())
+	return s.pipe.deps.RetryAfter(s.request.Pool, s.request.Priority())
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -29,8 +29,8 @@
 type Fleet struct {
 	// Boxes lists the live boxes of this failure domain, including this one.
 	Boxes []string
-	// Leaving holds the names of upstreams that are about to shut down.
-	Leaving map[string]bool
+	// Draining holds the names of upstreams that are about to shut down.
+	Draining map[string]bool
 }
 
 // Result is the outcome of an attempt on an upstream with regard to the upstream's health.
@@ -235,7 +235,7 @@
 		Reported:    u.reported,
 		Slots:       u.row.Slots,
 		Ejected:     u.health.Ejected(now),
-		Leaving:     u.row.Draining || m.fleet.Leaving[u.row.Name],
+		Draining:     u.row.Draining || m.fleet.Draining[u.row.Name],
 	}
 }
 
@@ -351,7 +351,7 @@
 		member := m.member(u, u.used)
 		loads = append(loads, Load{
 			Name: u.row.Name, Address: u.row.Address, InFlight: u.used, Reported: u.reported,
-			Weight: member.Weight, Ejected: u.health.Ejected(now), Leaving: member.Leaving,
+			Weight: member.Weight, Ejected: u.health.Ejected(now), Leaving: member.Draining,
 		})
 	}
 	slices.SortFunc(loads, func(a, b Load) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -60,7 +60,7 @@
 func (v *View) reason(position int) string {
 	m := &v.Members[position]
 	switch {
-	case m.Leaving:
+	case m.Draining:
 		return ReasonLeaving
 	case m.Ejected:
 		return ReasonEjected
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -79,7 +79,7 @@
 
 func TestPick(t *testing.T) {
 	t.Run("fails when no upstream accepts new work", func(t *testing.T) {
-		v := NewView(members(2, func(_ int, m *Member) { m.Leaving = true }), 125, boxNames(1), "box-0")
+		v := NewView(members(2, func(_ int, m *Member) { m.Draining = true }), 125, boxNames(1), "box-0")
 		p, err := PolicyByName(PolicyRendezvousBound)
 		require.NoError(t, err)
 		_, err = p.Pick(v, 1, Tried{})
--- a/internal/route/view.go
+++ b/internal/route/view.go
@@ -33,8 +33,8 @@
 	Slots int
 	// Ejected is set while the upstream is ejected because of failures.
 	Ejected bool
-	// Leaving is set when the upstream is draining and accepts no new work.
-	Leaving bool
+	// Draining is set when the upstream is draining and accepts no new work.
+	Draining bool
 
 	// roundingOffset is this box's rank in the split of the upstream's slots, scaled to 0 to 1.
 	roundingOffset float64
@@ -45,7 +45,7 @@
 }
 
 // usable reports whether the member accepts new work.
-func (m *Member) usable() bool { return !m.Leaving && !m.Ejected && m.Weight > 0 }
+func (m *Member) usable() bool { return !m.Draining && !m.Ejected && m.Weight > 0 }
 
 // View is the complete input of a decision. It must not be used by several goroutines at a time.
 type View struct {
@@ -186,7 +186,7 @@
 
 // SetLeaving sets whether a member is leaving and accepts no new work.
 func (v *View) SetLeaving(index int, leaving bool) {
-	v.Members[index].Leaving = leaving
+	v.Members[index].Draining = leaving
 	v.refreshWeights()
 }
 
@@ -215,7 +215,7 @@
 func (v *View) mayEject(panicPercent int) bool {
 	ejected, eligible := 1, 0
 	for i := range v.Members {
-		if v.Members[i].Leaving {
+		if v.Members[i].Draining {
 			continue
 		}
 		eligible++
--- a/internal/soak/response_signals.go
+++ b/internal/soak/response_signals.go
@@ -62,12 +62,12 @@
 	requesting := []*standin.Server{}
 	for _, s := range servers {
 		current := s.incarnation()
-		current.AskRest(maxBackoffMs)
+		current.ReportBackoff(maxBackoffMs)
 		requesting = append(requesting, current)
 	}
 	sleep(ctx, duration)
 	for _, one := range requesting {
-		one.AskRest(0)
+		one.ReportBackoff(0)
 	}
 }
 
@@ -76,7 +76,7 @@
 // replaced.
 func (f *fleet) drainBySignal(ctx context.Context, s *server) {
 	current := s.incarnation()
-	current.SayLeaving()
+	current.ReportDraining()
 	sleep(ctx, drainSpan)
 	if s.incarnation() != current {
 		return
@@ -128,7 +128,7 @@
 			if count := h.sendsInBackoff(pair, list, v); count > maxSendsInBackoff {
 				violations = append(violations, violation{
 					"Retry-After is respected", v.RequestID,
-					fmt.Sprintf("%s sent %s %d requests in a backoff of %d ms", pair.box, pair.server, count, v.RestMs),
+					fmt.Sprintf("%s sent %s %d requests in a backoff of %d ms", pair.box, pair.server, count, v.BackoffMs),
 				})
 			}
 		}
@@ -145,7 +145,7 @@
 // its refusal. It returns 0 if the box or the server's link was disturbed meanwhile.
 func (h *history) sendsInBackoff(pair boxServer, list []delivery, refusal delivery) int {
 	from := refusal.At.Add(backoffGrace + timingSlack)
-	until := refusal.At.Add(time.Duration(refusal.RestMs) * time.Millisecond)
+	until := refusal.At.Add(time.Duration(refusal.BackoffMs) * time.Millisecond)
 	if !until.After(from) || !h.noDisturbance(pair, refusal.At, until) {
 		return 0
 	}
@@ -163,7 +163,7 @@
 func (h *history) lateAfterSignal(pair boxServer, list []delivery) string {
 	var signalled time.Time
 	for _, v := range list {
-		if v.Leaving && v.outcome.Whole && (signalled.IsZero() || v.outcome.Ended.Before(signalled)) {
+		if v.Draining && v.outcome.Whole && (signalled.IsZero() || v.outcome.Ended.Before(signalled)) {
 			signalled = v.outcome.Ended
 		}
 	}
--- a/internal/soak/response_signals_test.go
+++ b/internal/soak/response_signals_test.go
@@ -34,15 +34,15 @@
 // TestCheckSignals records requests as boxes would send them that ignore servers' signals.
 func TestCheckSignals(t *testing.T) {
 	const guarantee = "Retry-After is respected"
-	backoff := func(a *standin.Arrival) { a.RestMs = 2000 }
-	drains := func(a *standin.Arrival) { a.Leaving = true }
+	backoff := func(a *standin.Arrival) { a.BackoffMs = 2000 }
+	drains := func(a *standin.Arrival) { a.Draining = true }
 	t.Run("finds three requests in a backoff period", func(t *testing.T) {
 		// 1.0, 1.2 and 1.4 s after the refusal.
 		assertFinds(t, historyWithSignal(8, backoff), guarantee)
 	})
 	t.Run("accepts two, and any directly after the refusal or after the backoff", func(t *testing.T) {
 		assert.Empty(t, historyWithSignal(7, backoff).check())
-		assert.Empty(t, historyWithSignal(20, func(a *standin.Arrival) { a.RestMs = 1300 }).check())
+		assert.Empty(t, historyWithSignal(20, func(a *standin.Arrival) { a.BackoffMs = 1300 }).check())
 	})
 	t.Run("does not apply to a disturbed box", func(t *testing.T) {
 		h := historyWithSignal(8, backoff)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -358,7 +358,7 @@
 func (e *Engine) currentLoad() engine.Load {
 	return engine.Load{
 		InFlight: e.running, Queued: len(e.queue), Slots: e.speed.Slots,
-		Models: slices.Clone(e.models), Leaving: e.leaving, AtMs: e.clock.Now(),
+		Models: slices.Clone(e.models), Draining: e.leaving, AtMs: e.clock.Now(),
 	}
 }
 
