--- a/internal/balance/fetch.go
+++ b/internal/balance/fetch.go
@@ -13,7 +13,7 @@
 // more than the chosen engine caches. Fetching raises the value score by 0.029 on days with crashes
 // and partitions (ten paired runs, standard error 0.002); 0.005 of it (0.001) is due to what other
 // boxes announce about engines.
-func (m *Manager) chooseFetchSource(lease *Lease, a Ask, shared []prompt.Keyed, now clock.Millis) {
+func (m *Manager) chooseFetchSource(lease *Lease, a Ask, shared []prompt.KeyedPart, now clock.Millis) {
 	if !a.Transfers || len(shared) == 0 {
 		return
 	}
@@ -40,7 +40,7 @@
 	return first.Address
 }
 
-func tokens(parts []prompt.Keyed) int {
+func tokens(parts []prompt.KeyedPart) int {
 	sum := 0
 	for _, part := range parts {
 		sum += part.Tokens
@@ -51,7 +51,7 @@
 // knownHolder returns the address of the engine that is known to cache the most of the prompt, and
 // the number of tokens it caches.
 func (m *Manager) knownHolder(
-	lease *Lease, order []*Member, shared []prompt.Keyed, now clock.Millis,
+	lease *Lease, order []*Member, shared []prompt.KeyedPart, now clock.Millis,
 ) (address string, cached int) {
 	for _, member := range append(order, m.departed[lease.Pool]...) {
 		if member == lease.Member || member.health.Ejected(now) || member.signals.backingOff(now) {
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -52,8 +52,8 @@
 		f.restart(previous.ID)
 		again := f.pick(t, ask)
 		assert.Equal(t, previous.ID, again.ID)
-		assert.Equal(t, 1000, again.Reading.Tokens, "it prefills the prompt again")
-		assert.Equal(t, PrefillEngineGone, again.Reading.Why)
+		assert.Equal(t, 1000, again.Prefill.Tokens, "it prefills the prompt again")
+		assert.Equal(t, PrefillEngineGone, again.Prefill.Reason)
 	})
 	t.Run("nothing is fetched from its previous incarnation", func(t *testing.T) {
 		f := newFixture(t, 6).withStartTimes()
@@ -91,8 +91,8 @@
 		previous := f.pick(t, ask)
 		old := keyOf(f.list, previous.ID)
 		f.restart(previous.ID)
-		f.LearnKept([]prompt.Kept{{Part: namekey.Of("s"), Upstream: old}})
-		assert.Equal(t, 1000, f.pick(t, ask).Reading.Tokens)
+		f.RecordAnnouncements([]prompt.CachedPart{{Part: namekey.Of("s"), Upstream: old}})
+		assert.Equal(t, 1000, f.pick(t, ask).Prefill.Tokens)
 	})
 	t.Run("it is not ejected for failures of its previous incarnation", func(t *testing.T) {
 		f := newFixture(t, 6).withStartTimes()
--- a/internal/balance/parts.go
+++ b/internal/balance/parts.go
@@ -49,7 +49,7 @@
 
 // cachedTokens returns how many tokens at the beginning of the prompt are likely cached. A cached
 // part was prefilled after all parts before it.
-func (p partIndex) cachedTokens(parts []prompt.Keyed, now clock.Millis) int {
+func (p partIndex) cachedTokens(parts []prompt.KeyedPart, now clock.Millis) int {
 	sum, cachedTokens := 0, 0
 	for _, part := range parts {
 		sum += part.Tokens
@@ -64,40 +64,40 @@
 // of. Its entries are numbered from 0.
 type announceLog struct {
 	next int64
-	list []prompt.Kept
+	list []prompt.CachedPart
 }
 
 // maxAnnouncements bounds a log. It exceeds what a box sends in a few rounds.
 const maxAnnouncements = 256
 
-func (a *announceLog) add(entry prompt.Kept) {
+func (a *announceLog) add(entry prompt.CachedPart) {
 	a.list = append(a.list, entry)
 	a.next++
 	if len(a.list) >= 2*maxAnnouncements {
 		// The older half is removed at once, so that appending stays cheap.
-		a.list = append([]prompt.Kept(nil), a.list[len(a.list)-maxAnnouncements:]...)
+		a.list = append([]prompt.CachedPart(nil), a.list[len(a.list)-maxAnnouncements:]...)
 	}
 }
 
 // since returns up to limit entries from a number on, and the number to continue from.
-func (a *announceLog) since(from int64, limit int) ([]prompt.Kept, int64) {
+func (a *announceLog) since(from int64, limit int) ([]prompt.CachedPart, int64) {
 	oldest := a.next - int64(len(a.list))
 	from = min(max(from, oldest), a.next)
 	to := min(a.next, from+int64(limit))
 	return a.list[from-oldest : to-oldest], to
 }
 
-// KeptSince returns up to limit parts that this box had engines prefill, from a number on, and the
+// AnnouncementsSince returns up to limit parts that this box had engines prefill, from a number on, and the
 // number to continue from. Numbers start at 0.
-func (m *Manager) KeptSince(from int64, limit int) ([]prompt.Kept, int64) {
+func (m *Manager) AnnouncementsSince(from int64, limit int) ([]prompt.CachedPart, int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	list, next := m.announcements.since(from, limit)
-	return append([]prompt.Kept(nil), list...), next
+	return append([]prompt.CachedPart(nil), list...), next
 }
 
-// LearnKept records the parts that other boxes had engines prefill.
-func (m *Manager) LearnKept(list []prompt.Kept) {
+// RecordAnnouncements records the parts that other boxes had engines prefill.
+func (m *Manager) RecordAnnouncements(list []prompt.CachedPart) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.steady()
@@ -124,7 +124,7 @@
 func (l *Lease) announceParts() {
 	for _, key := range l.newParts {
 		l.finishPrefill(key)
-		l.manager.announcements.add(prompt.Kept{Part: key, Upstream: l.key})
+		l.manager.announcements.add(prompt.CachedPart{Part: key, Upstream: l.key})
 	}
 	l.newParts = nil
 }
--- a/internal/balance/parts_test.go
+++ b/internal/balance/parts_test.go
@@ -15,11 +15,11 @@
 // assertAnnounced checks which parts a box announces to others, and that they name an engine.
 func assertAnnounced(t *testing.T, f *fixture, engine string, parts ...string) {
 	t.Helper()
-	want := make([]prompt.Kept, 0, len(parts))
+	want := make([]prompt.CachedPart, 0, len(parts))
 	for _, part := range parts {
-		want = append(want, prompt.Kept{Part: namekey.Of(part), Upstream: namekey.Of(engine)})
+		want = append(want, prompt.CachedPart{Part: namekey.Of(part), Upstream: namekey.Of(engine)})
 	}
-	announced, _ := f.KeptSince(0, maxAnnouncements)
+	announced, _ := f.AnnouncementsSince(0, maxAnnouncements)
 	assert.ElementsMatch(t, want, announced)
 }
 
@@ -34,7 +34,7 @@
 			if u.ID != f.pick(t, ask).ID {
 				holder = u.Address
 				f.clearParts()
-				f.LearnKept([]prompt.Kept{{Part: namekey.Of("s"), Upstream: namekey.Of(u.ID)}})
+				f.RecordAnnouncements([]prompt.CachedPart{{Part: namekey.Of("s"), Upstream: namekey.Of(u.ID)}})
 				break
 			}
 		}
@@ -44,7 +44,7 @@
 		f := newFixture(t, 6)
 		first := f.pick(t, ask)
 		f.clearParts()
-		f.LearnKept([]prompt.Kept{{Part: namekey.Of("s"), Upstream: namekey.Of(first.ID)}})
+		f.RecordAnnouncements([]prompt.CachedPart{{Part: namekey.Of("s"), Upstream: namekey.Of(first.ID)}})
 		assert.Empty(t, f.pick(t, ask).FetchFrom)
 	})
 	t.Run("an engine whose entry has just gone remains a fetch source for a while", func(t *testing.T) {
@@ -85,24 +85,24 @@
 			f := newFixture(t, 6)
 			l := f.pick(t, ask)
 			l.Release(result)
-			assert.Zero(t, l.parts.cachedTokens(ask.Prompt.Shared().Keyed(), f.now))
+			assert.Zero(t, l.parts.cachedTokens(ask.Prompt.Shared().KeyedParts(), f.now))
 			assertAnnounced(t, f, l.ID)
 		}
 	})
 	t.Run("an announcement for an unknown engine is ignored", func(t *testing.T) {
 		f := newFixture(t, 2)
-		f.LearnKept([]prompt.Kept{{Part: 1, Upstream: namekey.Of("gone")}})
+		f.RecordAnnouncements([]prompt.CachedPart{{Part: 1, Upstream: namekey.Of("gone")}})
 		f.pick(t, ask)
 	})
 	t.Run("a reader that is far behind gets the newest entries, in batches", func(t *testing.T) {
 		log := announceLog{}
 		for i := range 5 * maxAnnouncements {
-			log.add(prompt.Kept{Part: namekey.Key(i)})
+			log.add(prompt.CachedPart{Part: namekey.Key(i)})
 		}
-		read := []prompt.Kept{}
+		read := []prompt.CachedPart{}
 		from := int64(0)
 		for from < log.next {
-			var list []prompt.Kept
+			var list []prompt.CachedPart
 			list, from = log.since(from, 50)
 			read = append(read, list...)
 		}
--- a/internal/balance/permits_test.go
+++ b/internal/balance/permits_test.go
@@ -52,7 +52,7 @@
 		require.NoError(t, err)
 		assert.Equal(t, 2, lease.Rank)
 		assert.Len(t, f.InFlight(), 1, "refused picks are undone")
-		assert.Equal(t, SkipOverloaded, lease.Passed.Why)
+		assert.Equal(t, SkipOverloaded, lease.Skipped.Reason)
 	})
 	t.Run("fetches from the first engine, to which others have likely sent the session", func(t *testing.T) {
 		f, owner := inLargeFleet(t, 120), &fakeOwner{refusals: 1}
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -42,17 +42,17 @@
 	MeanPercent int
 	// FetchFrom is the address of the engine to fetch cached parts from, or "".
 	FetchFrom string
-	// Reading is what the engine is expected to prefill of the shared parts.
-	Reading Reading
-	// Passed is the engine that ranks first for the session, if it was skipped.
-	Passed Passed
+	// Prefill is what the engine is expected to prefill of the shared parts.
+	Prefill Prefill
+	// Skipped is the engine that ranks first for the session, if it was skipped.
+	Skipped Skipped
 
 	// newParts are the shared parts that the engine is to prefill and other boxes may not know of.
 	newParts []namekey.Key
 	manager  *Manager
 	path     *netPath
 	// shared are the shared parts of the prompt.
-	shared []prompt.Keyed
+	shared []prompt.KeyedPart
 	// bound is the maximum load of an engine that has an owner, or 0 for others.
 	bound int
 	// onRelease returns the permit to the engine's owner; nil if there is none.
@@ -89,13 +89,13 @@
 		return nil, m.noUpstreamError(a.Pool, now)
 	}
 	total := m.total(a.Pool, members, now)
-	shared := a.Prompt.Shared().Keyed()
+	shared := a.Prompt.Shared().KeyedParts()
 	lease := &Lease{manager: m, MeanPercent: percent * total / len(members)}
 	if a.Sticky && len(a.Prompt) > 0 {
 		m.pickSticky(lease, members, a, total, now)
 		m.chooseFetchSource(lease, a, shared, now)
-		lease.Reading = m.estimatePrefill(lease, a, shared, now)
-		lease.Passed = m.skippedEngine(lease, a, now)
+		lease.Prefill = m.estimatePrefill(lease, a, shared, now)
+		lease.Skipped = m.skippedEngine(lease, a, now)
 	} else {
 		m.pickLeastLoaded(lease, members, now)
 	}
--- a/internal/balance/prefill.go
+++ b/internal/balance/prefill.go
@@ -5,11 +5,11 @@
 	"dooryard.example/dooryard/internal/prompt"
 )
 
-// Reading is what an engine is expected to prefill of a prompt's shared parts, because neither it
+// Prefill is what an engine is expected to prefill of a prompt's shared parts, because neither it
 // nor the engine that it fetches from is known to cache them.
-type Reading struct {
+type Prefill struct {
 	Tokens int
-	Why    PrefillReason
+	Reason    PrefillReason
 }
 
 // PrefillReason is the reason for which shared parts are prefilled.
@@ -32,7 +32,7 @@
 
 // estimatePrefill returns what the chosen engine is expected to prefill. It must run before the
 // prompt is recorded as cached there.
-func (m *Manager) estimatePrefill(lease *Lease, a Ask, shared []prompt.Keyed, now clock.Millis) Reading {
+func (m *Manager) estimatePrefill(lease *Lease, a Ask, shared []prompt.KeyedPart, now clock.Millis) Prefill {
 	total := tokens(shared)
 	cached := lease.parts.cachedTokens(shared, now)
 	unreachable, concurrent, reachable := 0, 0, 0
@@ -57,23 +57,23 @@
 	}
 	switch missing := total - cached; {
 	case missing < minFetchTokens && concurrent >= minFetchTokens:
-		return Reading{Tokens: concurrent, Why: PrefillConcurrent}
+		return Prefill{Tokens: concurrent, Reason: PrefillConcurrent}
 	case missing < minFetchTokens:
-		return Reading{}
+		return Prefill{}
 	case reachable > cached:
-		return Reading{Tokens: missing, Why: PrefillNotFetched}
+		return Prefill{Tokens: missing, Reason: PrefillNotFetched}
 	case unreachable > cached:
-		return Reading{Tokens: missing, Why: PrefillEngineUnreachable}
+		return Prefill{Tokens: missing, Reason: PrefillEngineUnreachable}
 	case lostTokens > cached:
-		return Reading{Tokens: missing, Why: PrefillEngineGone}
+		return Prefill{Tokens: missing, Reason: PrefillEngineGone}
 	default:
-		return Reading{Tokens: missing, Why: PrefillNew}
+		return Prefill{Tokens: missing, Reason: PrefillNew}
 	}
 }
 
 // confirmedTokens returns how many tokens at the beginning of the prompt the engine has certainly
 // prefilled, because it has responded to requests with them.
-func (m *Member) confirmedTokens(shared []prompt.Keyed, now clock.Millis) int {
+func (m *Member) confirmedTokens(shared []prompt.KeyedPart, now clock.Millis) int {
 	sum, confirmed := 0, 0
 	for _, part := range shared {
 		sum += part.Tokens
--- a/internal/balance/prefill_test.go
+++ b/internal/balance/prefill_test.go
@@ -13,15 +13,15 @@
 	transfers.Transfers = true
 	// secondPrefill returns the prefill of an engine to which a session is sent after its first
 	// engine prefilled it.
-	secondPrefill := func(t *testing.T, a Ask, disrupt func(f *fixture, first *Lease)) Reading {
+	secondPrefill := func(t *testing.T, a Ask, disrupt func(f *fixture, first *Lease)) Prefill {
 		t.Helper()
 		f := newFixture(t, 6)
 		first := f.pick(t, a)
-		assert.Equal(t, Reading{Tokens: 1000, Why: PrefillNew}, first.Reading)
+		assert.Equal(t, Prefill{Tokens: 1000, Reason: PrefillNew}, first.Prefill)
 		disrupt(f, first)
 		second := f.pick(t, a)
 		assert.NotEqual(t, first.ID, second.ID)
-		return second.Reading
+		return second.Prefill
 	}
 	full := func(f *fixture, first *Lease) {
 		first.Answered()
@@ -30,23 +30,23 @@
 	t.Run("the engine that caches the prompt prefills nothing", func(t *testing.T) {
 		f := newFixture(t, 6)
 		f.pick(t, transfers).Release(Succeeded)
-		assert.Zero(t, f.pick(t, transfers).Reading)
+		assert.Zero(t, f.pick(t, transfers).Prefill)
 	})
 	t.Run("an engine that fetches the prompt prefills nothing", func(t *testing.T) {
 		assert.Zero(t, secondPrefill(t, transfers, full))
 	})
 	t.Run("an engine prefills what can't be fetched", func(t *testing.T) {
-		assert.Equal(t, Reading{Tokens: 1000, Why: PrefillNotFetched}, secondPrefill(t, sticky("s"), full))
+		assert.Equal(t, Prefill{Tokens: 1000, Reason: PrefillNotFetched}, secondPrefill(t, sticky("s"), full))
 	})
 	t.Run("two engines prefill the prompt concurrently while the first has not responded", func(t *testing.T) {
 		got := secondPrefill(t, transfers, func(f *fixture, first *Lease) {
 			f.SetOthers(map[namekey.Key]int{namekey.Of(first.ID): 30})
 		})
-		assert.Equal(t, Reading{Tokens: 1000, Why: PrefillConcurrent}, got)
+		assert.Equal(t, Prefill{Tokens: 1000, Reason: PrefillConcurrent}, got)
 	})
 	t.Run("an engine prefills the prompt when the one that caches it is behind a partition", func(t *testing.T) {
 		got := secondPrefill(t, sticky("s"), func(f *fixture, first *Lease) { f.Probed(first.FailureDomain, false) })
-		assert.Equal(t, Reading{Tokens: 1000, Why: PrefillEngineUnreachable}, got)
+		assert.Equal(t, Prefill{Tokens: 1000, Reason: PrefillEngineUnreachable}, got)
 	})
 	t.Run("an engine prefills the prompt when the one that cached it is gone", func(t *testing.T) {
 		got := secondPrefill(t, sticky("s"), func(f *fixture, first *Lease) {
@@ -58,7 +58,7 @@
 			}
 			f.SetUpstreams(f.list)
 		})
-		assert.Equal(t, Reading{Tokens: 1000, Why: PrefillEngineGone}, got)
+		assert.Equal(t, Prefill{Tokens: 1000, Reason: PrefillEngineGone}, got)
 	})
 	t.Run("requests that ended no longer count as prefilling", func(t *testing.T) {
 		f := newFixture(t, 6)
--- a/internal/balance/signals_test.go
+++ b/internal/balance/signals_test.go
@@ -48,7 +48,7 @@
 	t.Run("an upstream that is backing off receives nothing until the end", func(t *testing.T) {
 		f, first := newBackoffFixture(t, 6)
 		l := f.pick(t, sticky("s"))
-		assert.Equal(t, Passed{Upstream: first.ID, Why: SkipBackoff}, l.Passed)
+		assert.Equal(t, Skipped{Upstream: first.ID, Reason: SkipBackoff}, l.Skipped)
 		l.Release(Succeeded)
 		f.now += backoffMs - 1
 		assertReceivesRequests(t, f, first.ID, false)
@@ -138,7 +138,7 @@
 		first.BackOff(backoffMs, "r")
 		elsewhere := f.pick(t, ask)
 		assert.Empty(t, elsewhere.FetchFrom)
-		assert.Equal(t, Reading{Tokens: 1000, Why: PrefillEngineUnreachable}, elsewhere.Reading)
+		assert.Equal(t, Prefill{Tokens: 1000, Reason: PrefillEngineUnreachable}, elsewhere.Prefill)
 	})
 	t.Run("single trial requests are sent after a backoff, until one is answered", func(t *testing.T) {
 		f, first := newBackoffFixture(t, 6)
@@ -266,7 +266,7 @@
 	t.Run("a draining upstream receives no more requests", func(t *testing.T) {
 		f, l := newDrainingFixture(t)
 		assertReceivesRequests(t, f, l.ID, false)
-		assert.Equal(t, SkipDraining, f.pick(t, sticky("s")).Passed.Why)
+		assert.Equal(t, SkipDraining, f.pick(t, sticky("s")).Skipped.Reason)
 		require.ErrorIs(t, l.MaySend(), ErrDraining)
 	})
 	t.Run("a change of its entry does not end draining", func(t *testing.T) {
--- a/internal/balance/skipped.go
+++ b/internal/balance/skipped.go
@@ -6,11 +6,11 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Passed is the engine that ranks first for a session but was not chosen, and the reason.
-type Passed struct {
+// Skipped is the engine that ranks first for a session but was not chosen, and the reason.
+type Skipped struct {
 	// Upstream is the engine's ID, or "" if the first engine was chosen.
 	Upstream string
-	Why      SkipReason
+	Reason      SkipReason
 }
 
 // SkipReason is the reason for which an engine was skipped.
@@ -37,16 +37,16 @@
 
 // skippedEngine returns the engine that ranks first for the session in the whole pool, unless it
 // was chosen.
-func (m *Manager) skippedEngine(lease *Lease, a Ask, now clock.Millis) Passed {
+func (m *Manager) skippedEngine(lease *Lease, a Ask, now clock.Millis) Skipped {
 	first := rank(a.Prompt.Session(), m.pools[a.Pool])[0]
 	if first == lease.Member {
-		return Passed{}
+		return Skipped{}
 	}
 	why := m.skipReason(first, a, now)
 	if why == SkipOverloaded && lease.Spread > 1 {
 		why = SkipSpread
 	}
-	return Passed{Upstream: first.ID, Why: why}
+	return Skipped{Upstream: first.ID, Reason: why}
 }
 
 func (m *Manager) skipReason(member *Member, a Ask, now clock.Millis) SkipReason {
--- a/internal/balance/skipped_test.go
+++ b/internal/balance/skipped_test.go
@@ -31,9 +31,9 @@
 		t.Run("an engine is skipped: "+string(c.why), func(t *testing.T) {
 			f := newFixture(t, 6)
 			first := f.pick(t, sticky("s"))
-			assert.Equal(t, Passed{}, first.Passed)
+			assert.Equal(t, Skipped{}, first.Skipped)
 			c.disrupt(f, first)
-			assert.Equal(t, Passed{Upstream: first.ID, Why: c.why}, f.pick(t, sticky("s")).Passed)
+			assert.Equal(t, Skipped{Upstream: first.ID, Reason: c.why}, f.pick(t, sticky("s")).Skipped)
 		})
 	}
 	t.Run("an engine that was tried before is skipped", func(t *testing.T) {
@@ -41,6 +41,6 @@
 		first := f.pick(t, sticky("s"))
 		again := sticky("s")
 		again.Tried = []string{first.ID}
-		assert.Equal(t, Passed{Upstream: first.ID, Why: SkipTried}, f.pick(t, again).Passed)
+		assert.Equal(t, Skipped{Upstream: first.ID, Reason: SkipTried}, f.pick(t, again).Skipped)
 	})
 }
--- a/internal/cmd/operatorcmd/fleet.go
+++ b/internal/cmd/operatorcmd/fleet.go
@@ -115,9 +115,9 @@
 			status.Box, status.FailureDomain, orders.Token, orders.UntilMs-status.NowMs)
 	}
 	for _, u := range status.Upstreams {
-		if u.Ejected || u.Leaving {
+		if u.Ejected || u.Draining {
 			fmt.Fprintf(p.out, "  %s reports upstream %s: ejected %t, leaving %t, in flight %d\n",
-				status.Box, u.Name, u.Ejected, u.Leaving, u.InFlight)
+				status.Box, u.Name, u.Ejected, u.Draining, u.InFlight)
 		}
 	}
 }
--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -37,16 +37,16 @@
 	// the pool's mean load, in percent of one request.
 	Load        int
 	MeanPercent int
-	// PassedOver is the engine ranked first for the session, if another one was picked.
+	// SkippedUpstream is the engine ranked first for the session, if another one was picked.
 	// PassedWhy is the reason.
-	PassedOver string
-	PassedWhy  string
+	SkippedUpstream string
+	SkipReason  string
 	// FetchFrom is the engine from which to fetch cached prefixes.
 	FetchFrom string
-	// ReadTokens is the estimated number of tokens of shared prefixes that the engine has
+	// PrefillTokens is the estimated number of tokens of shared prefixes that the engine has
 	// to process itself. ReadWhy is the reason why no engine's cached copy can be used.
-	ReadTokens int
-	ReadWhy    string
+	PrefillTokens int
+	PrefillReason    string
 	// ResumeAfter is the last event that the caller has received, on a resumed stream.
 	ResumeAfter string
 }
@@ -69,12 +69,12 @@
 	o.AddInt("rank", e.Rank)
 	o.AddInt("load", e.Load)
 	o.AddInt("mean_load_percent", e.MeanPercent)
-	addIfSet(o, "passed_over", e.PassedOver)
-	addIfSet(o, "passed_why", e.PassedWhy)
+	addIfSet(o, "passed_over", e.SkippedUpstream)
+	addIfSet(o, "passed_why", e.SkipReason)
 	addIfSet(o, "fetch_from", e.FetchFrom)
-	if e.ReadTokens > 0 {
-		o.AddInt("read_tokens", e.ReadTokens)
-		o.AddString("read_why", e.ReadWhy)
+	if e.PrefillTokens > 0 {
+		o.AddInt("read_tokens", e.PrefillTokens)
+		o.AddString("read_why", e.PrefillReason)
 	}
 	addIfSet(o, "resume_after", e.ResumeAfter)
 	return nil
@@ -332,8 +332,8 @@
 	return nil
 }
 
-// UpstreamEnded records that an upstream's connections broke and its host refuses new ones.
-type UpstreamEnded struct {
+// UpstreamCrashed records that an upstream's connections broke and its host refuses new ones.
+type UpstreamCrashed struct {
 	Upstream string
 	// Fingerprints identify the content of this box's requests whose connections to the
 	// upstream broke.
@@ -341,13 +341,13 @@
 }
 
 // Name implements Event.
-func (UpstreamEnded) Name() string { return "upstream ended" }
+func (UpstreamCrashed) Name() string { return "upstream ended" }
 
 // Routine implements Event.
-func (UpstreamEnded) Routine() bool { return false }
+func (UpstreamCrashed) Routine() bool { return false }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (e UpstreamEnded) MarshalLogObject(o zapcore.ObjectEncoder) error {
+func (e UpstreamCrashed) MarshalLogObject(o zapcore.ObjectEncoder) error {
 	o.AddString("upstream", e.Upstream)
 	zap.Strings("fingerprints", e.Fingerprints).AddTo(o)
 	return nil
--- a/internal/experiment/day.go
+++ b/internal/experiment/day.go
@@ -241,9 +241,9 @@
 		}
 	}
 	if d.off != SharedCaches {
-		kept, next := from.KeptSince(from.told[to], percent)
+		kept, next := from.AnnouncementsSince(from.told[to], percent)
 		from.told[to] = next
-		to.LearnKept(kept)
+		to.RecordAnnouncements(kept)
 	}
 }
 
--- a/internal/gateway/box.go
+++ b/internal/gateway/box.go
@@ -62,7 +62,7 @@
 	budgets       *retry.Budgets
 	steps         *steps
 	peering       *peering
-	crashes       *crashes
+	crashDetector       *crashDetector
 	ignoredInputs *ignoredInputLog
 	pauseDetector *pauseDetector
 	sink          *storeSink
@@ -145,7 +145,7 @@
 	b.metrics.Publish("upstreams_at_rest", func() any { return b.balance.BackingOff() })
 	b.pauseDetector = newPauseDetector(b)
 	b.sink = b.newStoreSink(b.source.Name)
-	b.crashes = newCrashes(b)
+	b.crashDetector = newCrashDetector(b)
 	b.ignoredInputs = &ignoredInputLog{box: b, lastLogged: map[string]clock.Millis{}}
 	b.buildSteps()
 }
@@ -199,7 +199,7 @@
 // quarantineSettings returns the current settings of the quarantine.
 func (b *Box) quarantineSettings() quarantine.Settings {
 	settings := b.settings.Load().Quarantine
-	return quarantine.Settings{Ends: *settings.AfterEnds, HoldMs: clock.Millis(settings.HoldMs)}
+	return quarantine.Settings{MinCrashes: *settings.MinCrashes, HoldMs: clock.Millis(settings.HoldMs)}
 }
 
 // bodyMemory returns how many bytes of memory buffered request bodies may use.
@@ -230,7 +230,7 @@
 	b.goroutines.Go(func() { b.source.Run(background, b.sink.asSink()) })
 	b.goroutines.Go(func() { b.clock.Every(background, housekeepingIntervalMs, func(clock.Millis) { b.housekeeping() }) })
 	b.goroutines.Go(func() { b.watchPaths(background) })
-	b.goroutines.Go(func() { b.crashes.run(background) })
+	b.goroutines.Go(func() { b.crashDetector.run(background) })
 	b.goroutines.Go(func() { b.syncNotes(background) })
 	select {
 	case <-ctx.Done():
@@ -261,7 +261,7 @@
 	b.balance.Refresh()
 	b.peering.mesh.ExpirePermits()
 	b.quarantine.Expire()
-	b.crashes.expire()
+	b.crashDetector.expire()
 	b.budgets.SetReserve(max(1, int(float64(b.settings.Load().Budget.Slack)*localBudgetShare)/b.peering.mesh.Boxes()))
 }
 
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -49,10 +49,10 @@
 	probing bool
 }
 
-// crashes detects upstreams that crashed while they ran requests. If the host refuses new connections right after some
+// crashDetector detects upstreams that crashed while they ran requests. If the host refuses new connections right after some
 // broke, the upstream has crashed. If the host does not respond, the crash is detected when the upstream's registry
 // entry disappears. After a mere connection reset, new connections open.
-type crashes struct {
+type crashDetector struct {
 	box      *Box
 	observed chan dispatch.Observation
 
@@ -61,14 +61,14 @@
 	byID map[string]*suspects
 }
 
-func newCrashes(b *Box) *crashes {
-	return &crashes{
+func newCrashDetector(b *Box) *crashDetector {
+	return &crashDetector{
 		box: b, observed: make(chan dispatch.Observation, observationQueueSize), byID: map[string]*suspects{},
 	}
 }
 
 // observe queues the observation of an attempt. It never blocks.
-func (d *crashes) observe(o dispatch.Observation) {
+func (d *crashDetector) observe(o dispatch.Observation) {
 	select {
 	case d.observed <- o:
 	default:
@@ -76,15 +76,15 @@
 }
 
 // run processes queued observations until the context ends.
-func (d *crashes) run(ctx context.Context) {
+func (d *crashDetector) run(ctx context.Context) {
 	var probing sync.WaitGroup
 	defer probing.Wait()
 	for {
 		select {
 		case o := <-d.observed:
 			switch {
-			case o.Sign == dispatch.Refused:
-				d.handleTermination(o.Member.ID, "", true)
+			case o.Evidence == dispatch.ConnectionRefused:
+				d.handleCrash(o.Member.ID, "", true)
 			case d.addSuspect(o):
 				probing.Go(func() { d.probeUpstream(ctx, o) })
 			}
@@ -95,7 +95,7 @@
 }
 
 // addSuspect records a suspect and reports whether the upstream must be probed.
-func (d *crashes) addSuspect(o dispatch.Observation) bool {
+func (d *crashDetector) addSuspect(o dispatch.Observation) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	entry := d.byID[o.Member.ID]
@@ -103,7 +103,7 @@
 		entry = &suspects{}
 		d.byID[o.Member.ID] = entry
 	}
-	abandoned := o.Sign == dispatch.GivenUp
+	abandoned := o.Evidence == dispatch.RequestAbandoned
 	if len(entry.list) < maxSuspectsPerUpstream {
 		entry.list = append(entry.list, suspect{
 			fingerprint: o.Fingerprint, upstream: o.Member.Identity(), atMs: d.box.clock.Steady(), abandoned: abandoned,
@@ -115,9 +115,9 @@
 }
 
 // probeUpstream checks whether an upstream has crashed.
-func (d *crashes) probeUpstream(ctx context.Context, o dispatch.Observation) {
+func (d *crashDetector) probeUpstream(ctx context.Context, o dispatch.Observation) {
 	member, wait := o.Member, breakSettleMs
-	if o.Sign == dispatch.GivenUp {
+	if o.Evidence == dispatch.RequestAbandoned {
 		wait = abandonedProbeDelayMs
 	}
 	for again := true; again; {
@@ -127,7 +127,7 @@
 		found := member.Client().Liveness(ctx)
 		again = d.handleProbeResult(member.ID, found, startMs) && ctx.Err() == nil
 		if found == upstream.Ended || !d.box.registry.Has(member.Identity()) {
-			d.handleTermination(member.ID, "", found == upstream.Ended)
+			d.handleCrash(member.ID, "", found == upstream.Ended)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 // connections broke before the probe. An upstream that does not respond may have been crashed by the requests that
 // were abandoned because it did not respond. handleProbeResult reports whether more connections have broken since, so
 // that the upstream must be probed again.
-func (d *crashes) handleProbeResult(id string, found upstream.Liveness, startMs clock.Millis) (again bool) {
+func (d *crashDetector) handleProbeResult(id string, found upstream.Liveness, startMs clock.Millis) (again bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	entry := d.byID[id]
@@ -159,19 +159,19 @@
 
 // handleChanges processes registry changes. If an entry has disappeared or its server has restarted, the previous
 // incarnation has terminated.
-func (d *crashes) handleChanges(changes []registry.Change) {
+func (d *crashDetector) handleChanges(changes []registry.Change) {
 	for _, c := range changes {
 		successor := c.Upstream.Incarnation()
 		if c.Gone {
 			successor = ""
 		}
-		d.handleTermination(c.Upstream.ID, successor, false)
+		d.handleCrash(c.Upstream.ID, successor, false)
 	}
 }
 
-// handleTermination processes the termination of all incarnations of an upstream except its successor, or of all if
+// handleCrash processes the termination of all incarnations of an upstream except its successor, or of all if
 // successor is empty. Recent is set if the upstream terminated a short time ago.
-func (d *crashes) handleTermination(id, successor string, recent bool) {
+func (d *crashDetector) handleCrash(id, successor string, recent bool) {
 	list := d.removeSuspects(id, successor, recent)
 	if len(list) == 0 {
 		return
@@ -179,21 +179,21 @@
 	fingerprints, quarantined := make([]string, 0, len(list)), false
 	for _, s := range list {
 		fingerprints = append(fingerprints, s.fingerprint.String())
-		if d.box.quarantine.Ended(s.fingerprint, s.upstream.Key()) {
+		if d.box.quarantine.RecordCrash(s.fingerprint, s.upstream.Key()) {
 			quarantined = true
 			d.logQuarantined(s.fingerprint, "this box")
 		}
 	}
-	d.box.metrics.UpstreamEnded()
-	d.box.log.Tell(decision.UpstreamEnded{Upstream: list[0].upstream.Incarnation(), Fingerprints: fingerprints})
+	d.box.metrics.UpstreamCrashed()
+	d.box.log.Tell(decision.UpstreamCrashed{Upstream: list[0].upstream.Incarnation(), Fingerprints: fingerprints})
 	if quarantined {
-		d.box.peering.mesh.BroadcastEndings()
+		d.box.peering.mesh.BroadcastCrashEvents()
 	}
 }
 
 // removeSuspects removes and returns the suspects of all incarnations of an upstream except its successor. Of the
 // abandoned requests it returns only the newest, and only if the termination is recent.
-func (d *crashes) removeSuspects(id, successor string, recent bool) []suspect {
+func (d *crashDetector) removeSuspects(id, successor string, recent bool) []suspect {
 	now := d.box.clock.Steady()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -218,30 +218,30 @@
 }
 
 // handleCompleted processes a complete response to a request with this fingerprint.
-func (d *crashes) handleCompleted(fingerprint quarantine.Fingerprint) {
-	if d.box.quarantine.Answered(fingerprint) {
+func (d *crashDetector) handleCompleted(fingerprint quarantine.Fingerprint) {
+	if d.box.quarantine.RecordAnswer(fingerprint) {
 		d.box.log.Tell(decision.Quarantined{Fingerprint: fingerprint.String(), Source: "this box"})
 	}
 }
 
-// learnFromPeer processes crashes that another box reported.
-func (d *crashes) learnFromPeer(list []quarantine.Ending) { d.learnFrom("another box", list) }
+// recordFromPeer processes crashes that another box reported.
+func (d *crashDetector) recordFromPeer(list []quarantine.CrashEvent) { d.recordFrom("another box", list) }
 
-func (d *crashes) learnFrom(source string, list []quarantine.Ending) {
-	for _, fingerprint := range d.box.quarantine.Learn(list, d.box.peering.mesh.Large()) {
+func (d *crashDetector) recordFrom(source string, list []quarantine.CrashEvent) {
+	for _, fingerprint := range d.box.quarantine.RecordEvents(list, d.box.peering.mesh.Large()) {
 		d.logQuarantined(fingerprint, source)
 	}
 }
 
-func (d *crashes) logQuarantined(fingerprint quarantine.Fingerprint, source string) {
+func (d *crashDetector) logQuarantined(fingerprint quarantine.Fingerprint, source string) {
 	d.box.log.Tell(decision.Quarantined{
-		Fingerprint: fingerprint.String(), Upstreams: d.box.quarantine.Settings().Ends,
-		HoldMs: d.box.quarantine.HeldMs(fingerprint), Source: source,
+		Fingerprint: fingerprint.String(), Upstreams: d.box.quarantine.Settings().MinCrashes,
+		HoldMs: d.box.quarantine.QuarantineRemainingMs(fingerprint), Source: source,
 	})
 }
 
 // expire removes suspects that are too old to be attributed to a crash.
-func (d *crashes) expire() {
+func (d *crashDetector) expire() {
 	oldest := d.box.clock.Steady() - suspectRetentionMs
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -36,8 +36,8 @@
 	defaultRatio        = 0.2
 	defaultSlack        = 50
 	defaultWindowS      = 10
-	// defaultAfterEnds is how many upstreams operators let one request crash.
-	defaultAfterEnds = 3
+	// defaultMinCrashes is how many upstreams operators let one request crash.
+	defaultMinCrashes = 3
 	// defaultHoldMs is long compared to the seconds in which an upstream restarts, and short compared to the days
 	// in which its software is fixed.
 	defaultHoldMs = 600_000
@@ -66,9 +66,9 @@
 	config.Fill(&g.Balance.EjectBaseMs, defaultEjectBaseMs)
 	config.Fill(&g.Balance.EjectMaxMs, defaultEjectMaxMs)
 	config.Fill(&g.Balance.PanicPercent, defaultPanicPercent)
-	if g.Quarantine.AfterEnds == nil {
-		ends := defaultAfterEnds
-		g.Quarantine.AfterEnds = &ends
+	if g.Quarantine.MinCrashes == nil {
+		ends := defaultMinCrashes
+		g.Quarantine.MinCrashes = &ends
 	}
 	config.Fill(&g.Quarantine.HoldMs, defaultHoldMs)
 	config.Fill(&g.Lines.MaxPerSecond, defaultMaxLines)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -40,8 +40,8 @@
 // InputIgnored counts an invalid input.
 func (m *Metrics) InputIgnored() { m.all.Add("inputs_ignored", 1) }
 
-// UpstreamEnded counts an upstream that crashed while it ran requests.
-func (m *Metrics) UpstreamEnded() { m.all.Add("upstreams_ended", 1) }
+// UpstreamCrashed counts an upstream that crashed while it ran requests.
+func (m *Metrics) UpstreamCrashed() { m.all.Add("upstreams_ended", 1) }
 
 // StoreRestored counts a restoration of the store from an older snapshot.
 func (m *Metrics) StoreRestored() { m.all.Add("store_restored", 1) }
--- a/internal/gateway/notes_sync.go
+++ b/internal/gateway/notes_sync.go
@@ -47,9 +47,9 @@
 	Fingerprint quarantine.Fingerprint `json:"fingerprint"`
 	// Upstreams are the incarnations that crashed while running such a request.
 	Upstreams []namekey.Key `json:"upstreams"`
-	// EndedMs is the wall-clock time of the newest crash, by the clock of the box that wrote the note. It only
+	// CrashedMs is the wall-clock time of the newest crash, by the clock of the box that wrote the note. It only
 	// bounds an age of minutes, so a clock skew of some seconds does no harm.
-	EndedMs clock.Millis `json:"ended_ms"`
+	CrashedMs clock.Millis `json:"ended_ms"`
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -68,12 +68,12 @@
 	}
 }
 
-// crashes returns the crashes that the note records.
-func (n *suspectNote) crashes(now clock.Millis) []quarantine.Ending {
-	list := make([]quarantine.Ending, 0, len(n.Upstreams))
+// crashEvents returns the crashes that the note records.
+func (n *suspectNote) crashEvents(now clock.Millis) []quarantine.CrashEvent {
+	list := make([]quarantine.CrashEvent, 0, len(n.Upstreams))
 	for _, upstream := range n.Upstreams {
-		list = append(list, quarantine.Ending{
-			Fingerprint: n.Fingerprint, Upstream: upstream, AgeMs: max(0, now-n.EndedMs),
+		list = append(list, quarantine.CrashEvent{
+			Fingerprint: n.Fingerprint, Upstream: upstream, AgeMs: max(0, now-n.CrashedMs),
 		})
 	}
 	return list
@@ -162,7 +162,7 @@
 		return
 	}
 	n.written[name] = len(note.Upstreams)
-	n.box.crashes.learnFrom("store", note.crashes(n.box.clock.Now()))
+	n.box.crashDetector.recordFrom("store", note.crashEvents(n.box.clock.Now()))
 }
 
 // noteName returns the name of this failure domain's note on a suspect. The failure domain is part of it because
@@ -206,19 +206,19 @@
 // unreachable, those that are about to be quarantined.
 func (n *noteSyncer) fingerprintsToNote() []quarantine.Suspect {
 	if n.readerMissesPeer() {
-		return n.box.quarantine.Suspects(min(minNotedCrashes, max(1, n.box.quarantine.Settings().Ends)))
+		return n.box.quarantine.Suspects(min(minNotedCrashes, max(1, n.box.quarantine.Settings().MinCrashes)))
 	}
-	return n.box.quarantine.Held()
+	return n.box.quarantine.Quarantined()
 }
 
 func (n *noteSyncer) write(ctx context.Context, s quarantine.Suspect) error {
 	name := n.noteName(s)
-	if n.written[name] >= min(len(s.Upstreams), n.box.quarantine.Settings().Ends) {
+	if n.written[name] >= min(len(s.Upstreams), n.box.quarantine.Settings().MinCrashes) {
 		return nil
 	}
 	// A suspectNote consists of numbers, which always encode.
 	data, _ := json.Marshal(suspectNote{
-		Fingerprint: s.Fingerprint, Upstreams: s.Upstreams, EndedMs: n.box.clock.Now() - s.AgeMs,
+		Fingerprint: s.Fingerprint, Upstreams: s.Upstreams, CrashedMs: n.box.clock.Now() - s.AgeMs,
 	})
 	if err := n.notes.Keep(ctx, name, data); err != nil {
 		return err
--- a/internal/gateway/peering.go
+++ b/internal/gateway/peering.go
@@ -57,8 +57,8 @@
 		Clock: b.clock, PeriodMs: timingOf(*settings).periodMs, Conn: conn,
 		Contacts: p.contacts, Knowledge: b.meshKnowledge, InFlight: b.balance.InFlight,
 		Running:   b.balance.Running,
-		KeptSince: b.balance.KeptSince, LearnKept: b.balance.LearnKept,
-		EndingsSince: b.quarantine.Since, LearnEndings: b.crashes.learnFromPeer,
+		AnnouncementsSince: b.balance.AnnouncementsSince, RecordAnnouncements: b.balance.RecordAnnouncements,
+		CrashEventsSince: b.quarantine.EventsSince, RecordCrashEvents: b.crashDetector.recordFromPeer,
 		Answered: p.enqueue, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	b.peering = p
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -219,7 +219,7 @@
 	t.Run("is sent if operators have disabled the quarantine", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			a := newCrashRecorder(f, 8)
-			b := f.box(1, func(g *config.Gateway) { g.Quarantine.AfterEnds = new(int) })
+			b := f.box(1, func(g *config.Gateway) { g.Quarantine.MinCrashes = new(int) })
 			a.resend([]*running{b}, "/stream/", 20, time.Second)
 			assert.Len(f.t, a.sendsMs, 20)
 		})
--- a/internal/gateway/restored_test.go
+++ b/internal/gateway/restored_test.go
@@ -140,7 +140,7 @@
 			advance(t, 2*time.Second)
 			older := f.store.copy()
 			for _, upstream := range []string{"x", "y", "z"} {
-				b.quarantine.Ended(quarantine.Fingerprint(7), namekey.Of(upstream))
+				b.quarantine.RecordCrash(quarantine.Fingerprint(7), namekey.Of(upstream))
 			}
 			advance(t, 2*time.Second)
 			require.Len(t, f.store.copy().notes, 1)
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -193,7 +193,7 @@
 			State: upstreamState(c), Source: source,
 		})
 	}
-	b.crashes.handleChanges(changes)
+	b.crashDetector.handleChanges(changes)
 	if len(changes) > 0 {
 		b.updateSynced()
 		b.peering.mesh.Broadcast()
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -50,12 +50,12 @@
 		match:     match.New(b.awaitState, b.stateMayBeOutdated),
 		authorise: authorise.New(b.routingState.AgeMs, b.maxAgeMs, b.stateMayBeOutdated),
 		receive:   receive.New(b.bodyMemory(), b.clock.Steady),
-		screen:    screen.New(b.quarantine.HeldMs),
+		screen:    screen.New(b.quarantine.QuarantineRemainingMs),
 		dispatch: dispatch.New(dispatch.Dependencies{
 			Pick: b.pick, MayRetry: b.budgets.Take, FirstSend: b.budgets.First,
-			AgeMs: b.routingState.AgeMs, Tell: b.log.Tell, Reads: b.metrics.PromptTokensRead,
-			RetryAfter: b.balance.RetryAfterMs, OnSignals: b.handleSignals, Observe: b.crashes.observe,
-			Whole: b.crashes.handleCompleted, HeldMs: b.quarantine.HeldMs, Vouch: b.checkBeforeSend, Clock: b.clock,
+			AgeMs: b.routingState.AgeMs, Tell: b.log.Tell, OnPrefill: b.metrics.PromptTokensRead,
+			RetryAfter: b.balance.RetryAfterMs, OnSignals: b.handleSignals, Observe: b.crashDetector.observe,
+			OnCompleted: b.crashDetector.handleCompleted, QuarantineRemainingMs: b.quarantine.QuarantineRemainingMs, Vouch: b.checkBeforeSend, Clock: b.clock,
 		}),
 		record: record.New(b.log.Tell, b.metrics.RequestEnded, b.routingState.AgeMs, b.clock.Steady),
 	}
--- a/internal/mesh/bytes_test.go
+++ b/internal/mesh/bytes_test.go
@@ -75,7 +75,7 @@
 				baseline := f.sentIn(seconds, func(int) {})
 				withEndings := f.sentIn(seconds, func(second int) {
 					for i := range 10 {
-						f.boxes[(second*10+i)%c.boxes].ledger.Ended(quarantine.Fingerprint(1<<60+second*10+i), namekey.Of(fmt.Sprint("u", second)))
+						f.boxes[(second*10+i)%c.boxes].ledger.RecordCrash(quarantine.Fingerprint(1<<60+second*10+i), namekey.Of(fmt.Sprint("u", second)))
 					}
 				})
 				each := (withEndings - baseline) / c.boxes / (10 * seconds)
--- a/internal/mesh/endings_test.go
+++ b/internal/mesh/endings_test.go
@@ -19,7 +19,7 @@
 	// recordThree lets three boxes record one ending each.
 	recordThree := func(f *fixture) {
 		for i := range 3 {
-			f.boxes[i].ledger.Ended(fingerprint, namekey.Of("u"+strconv.Itoa(i)))
+			f.boxes[i].ledger.RecordCrash(fingerprint, namekey.Of("u"+strconv.Itoa(i)))
 		}
 	}
 	start := func(f *fixture, boxes int) {
@@ -58,7 +58,7 @@
 			random := rand.New(rand.NewPCG(1, 2))
 			f.network.SetLoss(func() bool { return random.IntN(2) == 0 })
 			for i := range 3 {
-				f.boxes[i%2].ledger.Ended(fingerprint, namekey.Of("u"+strconv.Itoa(i)))
+				f.boxes[i%2].ledger.RecordCrash(fingerprint, namekey.Of("u"+strconv.Itoa(i)))
 			}
 			advance(f.t, 3*time.Second)
 			assert.Equal(f.t, 2, f.quarantining(fingerprint))
@@ -92,7 +92,7 @@
 			start(f, 4)
 			recordThree(f)
 			advance(f.t, time.Second)
-			f.boxes[3].ledger.Answered(fingerprint)
+			f.boxes[3].ledger.RecordAnswer(fingerprint)
 			advance(f.t, time.Second)
 			assert.Zero(f.t, f.quarantining(fingerprint))
 		})
@@ -104,7 +104,7 @@
 			advance(f.t, 2*time.Second)
 			first := f.boxes[0]
 			p := first.forReceiver(first.packet(typePing, 0), "box-1")
-			assert.Empty(f.t, p.Endings)
+			assert.Empty(f.t, p.CrashEvents)
 		})
 	})
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -48,14 +48,14 @@
 	// box, so that boxes that forgot each other during a long partition find each other again.
 	newPeerSample    = 16
 	repliesPerSample = 16
-	// maxCachedParts limits the prompt parts that a datagram names, at 11 bytes each. It exceeds
+	// maxAnnouncements limits the prompt parts that a datagram names, at 11 bytes each. It exceeds
 	// the number of parts that a box's engines process while the box misses a cycle.
-	maxCachedParts = 64
-	// maxEndings limits the upstream endings that a datagram reports, at 16 bytes each.
+	maxAnnouncements = 64
+	// maxCrashEvents limits the upstream endings that a datagram reports, at 16 bytes each.
 	// maxEndingsLarge applies in a large fleet, where a box sends and answers about seven datagrams
 	// a second.
-	maxEndings      = 64
-	maxEndingsLarge = 16
+	maxCrashEvents      = 64
+	maxCrashEventsLarge = 16
 	// readersPerDomain is how many boxes of a failure domain read the store on behalf of it. Boxes
 	// of other domains are pinged too, so an unresponsive reader does no harm by itself.
 	readersPerDomain = 1
@@ -80,10 +80,10 @@
 	inFlight         func() map[namekey.Key]int
 	running          func() map[namekey.Key]int
 	ledger           *occupancy.Ledger
-	cachedParts      func(from int64, limit int) ([]prompt.Kept, int64)
-	learnCachedParts func(list []prompt.Kept)
-	endings          func(from int64, limit int) ([]quarantine.Ending, int64)
-	learnEndings     func(list []quarantine.Ending)
+	announcementsSince      func(from int64, limit int) ([]prompt.CachedPart, int64)
+	recordAnnouncements func(list []prompt.CachedPart)
+	crashEventsSince          func(from int64, limit int) ([]quarantine.CrashEvent, int64)
+	recordCrashEvents     func(list []quarantine.CrashEvent)
 	onAnswer         func(a Answer)
 	random           *rand.Rand
 
@@ -120,15 +120,15 @@
 	// Running returns this box's requests in flight, by pool. Large fleets exchange it instead of
 	// InFlight.
 	Running func() map[namekey.Key]int
-	// KeptSince returns the prompt parts that this box's requests put into engine caches from a
+	// AnnouncementsSince returns the prompt parts that this box's requests put into engine caches from a
 	// sequence number on, up to a limit, and the sequence number to continue from. LearnKept
 	// receives the parts that other boxes report.
-	KeptSince func(from int64, limit int) ([]prompt.Kept, int64)
-	LearnKept func(list []prompt.Kept)
-	// EndingsSince returns this box's reports of ended upstreams from a sequence number on, as
+	AnnouncementsSince func(from int64, limit int) ([]prompt.CachedPart, int64)
+	RecordAnnouncements func(list []prompt.CachedPart)
+	// CrashEventsSince returns this box's reports of ended upstreams from a sequence number on, as
 	// KeptSince does. LearnEndings receives the reports of other boxes.
-	EndingsSince func(from int64, limit int) ([]quarantine.Ending, int64)
-	LearnEndings func(list []quarantine.Ending)
+	CrashEventsSince func(from int64, limit int) ([]quarantine.CrashEvent, int64)
+	RecordCrashEvents func(list []quarantine.CrashEvent)
 	// Answered receives the knowledge of another box. It must not block.
 	Answered func(a Answer)
 	Random   *rand.Rand
@@ -139,8 +139,8 @@
 	return &Mesh{
 		self: d.Self, clock: d.Clock, period: d.PeriodMs, conn: d.Conn, contacts: d.Contacts, knowledge: d.Knowledge,
 		inFlight: d.InFlight, running: d.Running, ledger: occupancy.New(d.Clock.Steady),
-		cachedParts: d.KeptSince, learnCachedParts: d.LearnKept,
-		endings: d.EndingsSince, learnEndings: d.LearnEndings, onAnswer: d.Answered,
+		announcementsSince: d.AnnouncementsSince, recordAnnouncements: d.RecordAnnouncements,
+		crashEventsSince: d.CrashEventsSince, recordCrashEvents: d.RecordCrashEvents, onAnswer: d.Answered,
 		random: d.Random, peers: map[string]*peer{},
 		pendingPermits: permitRequests{nextNumber: d.Random.Uint32(), pending: map[uint32]chan bool{}},
 	}
@@ -189,11 +189,11 @@
 		return
 	}
 	m.recordPeer(p)
-	if len(p.CachedParts) > 0 {
-		m.learnCachedParts(p.CachedParts)
+	if len(p.Announcements) > 0 {
+		m.recordAnnouncements(p.Announcements)
 	}
-	if len(p.Endings) > 0 {
-		m.learnEndings(p.Endings)
+	if len(p.CrashEvents) > 0 {
+		m.recordCrashEvents(p.CrashEvents)
 	}
 	switch p.Type {
 	case typePing:
@@ -274,24 +274,24 @@
 		out.From = Identity{Box: m.self.Box, Incarnation: m.self.Incarnation}
 	}
 	if receiver != nil && !m.largeLocked() {
-		out.CachedParts, receiver.sentCachedParts = m.cachedParts(receiver.sentCachedParts, maxCachedParts)
+		out.Announcements, receiver.sentAnnouncements = m.announcementsSince(receiver.sentAnnouncements, maxAnnouncements)
 	}
 	if receiver != nil {
-		m.addEndingsLocked(&out, receiver)
+		m.addCrashEventsLocked(&out, receiver)
 	}
 	return &out
 }
 
-// addEndingsLocked adds reports of ended upstreams. They are sent again until the receiver
+// addCrashEventsLocked adds reports of ended upstreams. They are sent again until the receiver
 // acknowledges them, so a lost datagram loses no report.
-func (m *Mesh) addEndingsLocked(p *packet, receiver *peer) {
-	limit := maxEndings
+func (m *Mesh) addCrashEventsLocked(p *packet, receiver *peer) {
+	limit := maxCrashEvents
 	if m.largeLocked() {
-		limit = maxEndingsLarge
+		limit = maxCrashEventsLarge
 	}
-	p.EndingsAcked = receiver.receivedEndings
-	if list, to := m.endings(receiver.ackedEndings, limit); len(list) > 0 {
-		p.Endings, p.EndingsNext = list, to
+	p.CrashEventsAcked = receiver.receivedCrashEvents
+	if list, to := m.crashEventsSince(receiver.ackedCrashEvents, limit); len(list) > 0 {
+		p.CrashEvents, p.CrashEventsNext = list, to
 	}
 }
 
@@ -327,9 +327,9 @@
 	m.broadcast(func(p *peer) bool { return p.FailureDomain == m.self.FailureDomain })
 }
 
-// BroadcastEndings immediately sends new reports of ended upstreams to all boxes. In a large fleet
+// BroadcastCrashEvents immediately sends new reports of ended upstreams to all boxes. In a large fleet
 // the reports spread with the rounds instead.
-func (m *Mesh) BroadcastEndings() {
+func (m *Mesh) BroadcastCrashEvents() {
 	m.broadcast(func(*peer) bool { return !m.largeLocked() })
 }
 
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -26,8 +26,8 @@
 	knowledge Knowledge
 	inFlight  map[namekey.Key]int
 	answers   []Answer
-	kept      []prompt.Kept
-	received  []prompt.Kept
+	kept      []prompt.CachedPart
+	received  []prompt.CachedPart
 	stop      context.CancelFunc
 	ledger    *quarantine.Ledger
 }
@@ -35,7 +35,7 @@
 // newLedger returns a ledger that quarantines a fingerprint after three endings.
 func newLedger() *quarantine.Ledger {
 	c := clock.New()
-	settings := quarantine.Settings{Ends: 3, HoldMs: 600 * clock.Second}
+	settings := quarantine.Settings{MinCrashes: 3, HoldMs: 600 * clock.Second}
 	return quarantine.New(c.Steady, func() quarantine.Settings { return settings }, int64(c.Now()))
 }
 
@@ -43,7 +43,7 @@
 func (f *fixture) quarantining(fingerprint quarantine.Fingerprint) int {
 	count := 0
 	for _, b := range f.boxes {
-		if b.ledger.HeldMs(fingerprint) > 0 {
+		if b.ledger.QuarantineRemainingMs(fingerprint) > 0 {
 			count++
 		}
 	}
@@ -102,15 +102,15 @@
 			defer b.mu.Unlock()
 			b.answers = append(b.answers, a)
 		},
-		EndingsSince: b.ledger.Since,
-		LearnEndings: func(list []quarantine.Ending) { b.ledger.Learn(list, b.Large()) },
-		KeptSince: func(from int64, limit int) ([]prompt.Kept, int64) {
+		CrashEventsSince: b.ledger.EventsSince,
+		RecordCrashEvents: func(list []quarantine.CrashEvent) { b.ledger.RecordEvents(list, b.Large()) },
+		AnnouncementsSince: func(from int64, limit int) ([]prompt.CachedPart, int64) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			to := min(int64(len(b.kept)), from+int64(limit))
 			return b.kept[from:to], to
 		},
-		LearnKept: func(list []prompt.Kept) {
+		RecordAnnouncements: func(list []prompt.CachedPart) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.received = append(b.received, list...)
@@ -250,9 +250,9 @@
 		runInBubble(t, func(f *fixture) {
 			t := f.t
 			one, two, three := f.start("d"), f.start("d"), f.start("e")
-			want := []prompt.Kept{}
-			for i := range 3 * maxCachedParts {
-				want = append(want, prompt.Kept{Part: namekey.Key(i), Upstream: 7})
+			want := []prompt.CachedPart{}
+			for i := range 3 * maxAnnouncements {
+				want = append(want, prompt.CachedPart{Part: namekey.Key(i), Upstream: 7})
 			}
 			one.mu.Lock()
 			one.kept = want
--- a/internal/mesh/packet.go
+++ b/internal/mesh/packet.go
@@ -71,15 +71,15 @@
 	Draining bool `cbor:"6,keyasint,omitempty"`
 	// Known names a few other boxes.
 	Known []Identity `cbor:"7,keyasint,omitempty"`
-	// CachedParts are prompt parts that the sender's requests put into engine caches and that it
+	// Announcements are prompt parts that the sender's requests put into engine caches and that it
 	// has not sent to this receiver yet.
-	CachedParts []prompt.Kept `cbor:"8,keyasint,omitempty"`
-	// Endings are the sender's reports of ended upstreams that the receiver has not acknowledged.
+	Announcements []prompt.CachedPart `cbor:"8,keyasint,omitempty"`
+	// CrashEvents are the sender's reports of ended upstreams that the receiver has not acknowledged.
 	// EndingsNext is the sequence number that follows them.
-	Endings     []quarantine.Ending `cbor:"9,keyasint,omitempty"`
-	EndingsNext int64               `cbor:"10,keyasint,omitempty"`
-	// EndingsAcked acknowledges the receiver's reports up to this sequence number.
-	EndingsAcked int64 `cbor:"11,keyasint,omitempty"`
+	CrashEvents     []quarantine.CrashEvent `cbor:"9,keyasint,omitempty"`
+	CrashEventsNext int64               `cbor:"10,keyasint,omitempty"`
+	// CrashEventsAcked acknowledges the receiver's reports up to this sequence number.
+	CrashEventsAcked int64 `cbor:"11,keyasint,omitempty"`
 	// Running is the sender's requests in flight, by pool. A large fleet uses it instead of
 	// InFlight.
 	Running map[namekey.Key]int `cbor:"12,keyasint,omitempty"`
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -22,13 +22,13 @@
 	draining     bool
 	// unacked is the number of pings sent since the box's last message.
 	unacked int
-	// sentCachedParts is the sequence number of the next cached prompt part to send to the box.
-	sentCachedParts int64
-	// receivedEndings is the sequence number up to which this box has received the peer's reports
+	// sentAnnouncements is the sequence number of the next cached prompt part to send to the box.
+	sentAnnouncements int64
+	// receivedCrashEvents is the sequence number up to which this box has received the peer's reports
 	// of ended upstreams. ackedEndings is the one up to which the peer has acknowledged this box's
 	// reports.
-	receivedEndings int64
-	ackedEndings    int64
+	receivedCrashEvents int64
+	ackedCrashEvents    int64
 }
 
 // recordPeer stores the sender of a datagram and the boxes that it names.
@@ -45,11 +45,11 @@
 		running: p.Running, draining: p.Draining,
 	}
 	if known != nil && known.Incarnation == p.From.Incarnation && known.firstSeenMs > 0 {
-		updated.firstSeenMs, updated.sentCachedParts = known.firstSeenMs, known.sentCachedParts
-		updated.receivedEndings, updated.ackedEndings = known.receivedEndings, known.ackedEndings
+		updated.firstSeenMs, updated.sentAnnouncements = known.firstSeenMs, known.sentAnnouncements
+		updated.receivedCrashEvents, updated.ackedCrashEvents = known.receivedCrashEvents, known.ackedCrashEvents
 	}
-	updated.receivedEndings = max(updated.receivedEndings, p.EndingsNext)
-	updated.ackedEndings = max(updated.ackedEndings, p.EndingsAcked)
+	updated.receivedCrashEvents = max(updated.receivedCrashEvents, p.CrashEventsNext)
+	updated.ackedCrashEvents = max(updated.ackedCrashEvents, p.CrashEventsAcked)
 	if known == nil || known.firstSeenMs == 0 {
 		m.directPeers++
 	}
--- a/internal/pipe/dispatch/attempt.go
+++ b/internal/pipe/dispatch/attempt.go
@@ -59,7 +59,7 @@
 	case failed != nil:
 		s.observeFailure(ctx, lease, failed.err)
 	default:
-		s.pipe.deps.Whole(s.request.Fingerprint)
+		s.pipe.deps.OnCompleted(s.request.Fingerprint)
 	}
 	lease.Release(s.healthResult(failed))
 	return failed
@@ -140,14 +140,14 @@
 // logPicked logs the selected upstream and counts the prompt tokens that it has to process.
 func (s *retryLoop) logPicked(lease *balance.Lease) {
 	r := s.request
-	if lease.Reading.Tokens > 0 {
-		s.pipe.deps.Reads(string(lease.Reading.Why), lease.Reading.Tokens)
+	if lease.Prefill.Tokens > 0 {
+		s.pipe.deps.OnPrefill(string(lease.Prefill.Reason), lease.Prefill.Tokens)
 	}
 	s.pipe.deps.Tell(decision.Picked{
 		Request: r.ID, Route: r.Route.Name, Pool: r.Pool, Version: r.State.Version(), AgeMs: s.pipe.deps.AgeMs(),
 		Upstream: lease.ID, Attempt: s.attempts, Rank: lease.Rank, Load: lease.Load,
-		MeanPercent: lease.MeanPercent, PassedOver: lease.Passed.Upstream, PassedWhy: string(lease.Passed.Why),
-		FetchFrom: lease.FetchFrom, ReadTokens: lease.Reading.Tokens, ReadWhy: string(lease.Reading.Why),
+		MeanPercent: lease.MeanPercent, SkippedUpstream: lease.Skipped.Upstream, SkipReason: string(lease.Skipped.Reason),
+		FetchFrom: lease.FetchFrom, PrefillTokens: lease.Prefill.Tokens, PrefillReason: string(lease.Prefill.Reason),
 		ResumeAfter: s.stream.lastEventID(),
 	})
 }
--- a/internal/pipe/dispatch/dispatch.go
+++ b/internal/pipe/dispatch/dispatch.go
@@ -27,18 +27,18 @@
 	AgeMs func() clock.Millis
 	// Tell logs an event.
 	Tell func(e decision.Event)
-	// Reads counts the tokens of shared prompt parts that an engine likely has to process, by reason.
-	Reads func(why string, tokens int)
+	// OnPrefill counts the tokens of shared prompt parts that an engine likely has to process, by reason.
+	OnPrefill func(why string, tokens int)
 	// RetryAfter returns the Retry-After of a refused request.
 	RetryAfter func(pool string, priority int) clock.Millis
 	// OnSignals handles the backoff, shutdown and load signals in the headers of an upstream's response.
 	OnSignals func(request string, lease *balance.Lease, said opaque.Signals)
 	// Observe handles evidence that an upstream may have crashed.
 	Observe func(o Observation)
-	// Whole records that a request with this fingerprint got a complete response.
-	Whole func(fingerprint quarantine.Fingerprint)
-	// HeldMs returns the remaining quarantine time of a fingerprint, or 0.
-	HeldMs func(fingerprint quarantine.Fingerprint) clock.Millis
+	// OnCompleted records that a request with this fingerprint got a complete response.
+	OnCompleted func(fingerprint quarantine.Fingerprint)
+	// QuarantineRemainingMs returns the remaining quarantine time of a fingerprint, or 0.
+	QuarantineRemainingMs func(fingerprint quarantine.Fingerprint) clock.Millis
 	// Vouch returns an error if the box may not send the request now.
 	Vouch func(r *opaque.Request) error
 	Clock clock.Clock
@@ -156,7 +156,7 @@
 		return stopResponseStarted
 	case !failed.execution.allowsRetry(r.Route.Repeatable()):
 		return stopMayHaveRun
-	case s.pipe.deps.HeldMs(r.Fingerprint) > 0:
+	case s.pipe.deps.QuarantineRemainingMs(r.Fingerprint) > 0:
 		return stopQuarantined
 	case s.attempts >= maxConnectAttempts:
 		return stopMaxAttempts
--- a/internal/pipe/dispatch/observation.go
+++ b/internal/pipe/dispatch/observation.go
@@ -11,22 +11,22 @@
 	"dooryard.example/dooryard/internal/upstream"
 )
 
-// Sign is a kind of evidence that an upstream may have crashed.
-type Sign int
+// Evidence is a kind of evidence that an upstream may have crashed.
+type Evidence int
 
 // Signs.
 const (
 	// ConnectionBroken is a connection that broke during the request and was not closed by this box.
-	ConnectionBroken Sign = iota
-	// GivenUp is a request that its caller or this box canceled while it was at the upstream.
-	GivenUp
-	// Refused is a connection refused by the host of the upstream.
-	Refused
+	ConnectionBroken Evidence = iota
+	// RequestAbandoned is a request that its caller or this box canceled while it was at the upstream.
+	RequestAbandoned
+	// ConnectionRefused is a connection refused by the host of the upstream.
+	ConnectionRefused
 )
 
 // Observation is the evidence from one attempt.
 type Observation struct {
-	Sign        Sign
+	Evidence        Evidence
 	Member      *balance.Member
 	Fingerprint quarantine.Fingerprint
 }
@@ -36,13 +36,13 @@
 	o := Observation{Member: lease.Member, Fingerprint: s.request.Fingerprint}
 	switch {
 	case errors.Is(err, unix.ECONNREFUSED):
-		o.Sign = Refused
+		o.Evidence = ConnectionRefused
 	case upstream.NothingSent(err):
 		return
 	case ctx.Err() != nil:
-		o.Sign = GivenUp
+		o.Evidence = RequestAbandoned
 	case errors.Is(err, upstream.ErrBroken):
-		o.Sign = ConnectionBroken
+		o.Evidence = ConnectionBroken
 	default:
 		return
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -54,9 +54,9 @@
 	used     int
 	reported int
 	places   []place
-	// leaving and models are the upstream's last report about itself. models is nil before the first
+	// draining and models are the upstream's last report about itself. models is nil before the first
 	// report.
-	leaving bool
+	draining bool
 	models  []string
 }
 
@@ -70,7 +70,7 @@
 // draining or no longer has the pool's model loaded.
 func (p place) closed() bool {
 	u := p.pool.members[p.position]
-	if u.leaving || u.row.Draining {
+	if u.draining || u.row.Draining {
 		return true
 	}
 	_, target, _ := strings.Cut(p.pool.name, "/")
@@ -326,7 +326,7 @@
 	if u == nil {
 		return
 	}
-	u.leaving = leaving
+	u.draining = leaving
 	u.models = append([]string{}, models...)
 }
 
@@ -338,7 +338,7 @@
 	Reported int    `json:"reported"`
 	Weight   int    `json:"weight"`
 	Ejected  bool   `json:"ejected"`
-	Leaving  bool   `json:"leaving"`
+	Draining  bool   `json:"leaving"`
 }
 
 // Loads returns the state of all upstreams, sorted by name.
@@ -351,7 +351,7 @@
 		member := m.member(u, u.used)
 		loads = append(loads, Load{
 			Name: u.row.Name, Address: u.row.Address, InFlight: u.used, Reported: u.reported,
-			Weight: member.Weight, Ejected: u.health.Ejected(now), Leaving: member.Draining,
+			Weight: member.Weight, Ejected: u.health.Ejected(now), Draining: member.Draining,
 		})
 	}
 	slices.SortFunc(loads, func(a, b Load) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/prompt/prompt.go
+++ b/internal/prompt/prompt.go
@@ -35,24 +35,24 @@
 	return p[:len(p)-1]
 }
 
-// Keyed is a part identified by the key of its ID.
-type Keyed struct {
+// KeyedPart is a part identified by the key of its ID.
+type KeyedPart struct {
 	Key    namekey.Key
 	Tokens int
 }
 
-// Keyed returns the parts with the keys of their IDs.
-func (p Prompt) Keyed() []Keyed {
-	keyed := make([]Keyed, len(p))
+// KeyedParts returns the parts with the keys of their IDs.
+func (p Prompt) KeyedParts() []KeyedPart {
+	keyed := make([]KeyedPart, len(p))
 	for i, part := range p {
-		keyed[i] = Keyed{Key: namekey.Of(part.ID), Tokens: part.Tokens}
+		keyed[i] = KeyedPart{Key: namekey.Of(part.ID), Tokens: part.Tokens}
 	}
 	return keyed
 }
 
-// Kept states that an engine has a part of a prompt and all parts before it cached. It is only a
+// CachedPart states that an engine has a part of a prompt and all parts before it cached. It is only a
 // hint: the engine may have evicted the part since, and two IDs may have the same key.
-type Kept struct {
+type CachedPart struct {
 	_        struct{} `cbor:",toarray"`
 	Part     namekey.Key
 	Upstream namekey.Key
--- a/internal/prompt/prompt_test.go
+++ b/internal/prompt/prompt_test.go
@@ -23,6 +23,6 @@
 		assert.Empty(t, Prompt{}.Shared())
 	})
 	t.Run("keys are in the order of the parts", func(t *testing.T) {
-		assert.Equal(t, []Keyed{{namekey.Of("head"), 2000}, {namekey.Of("session"), 500}}, Prompt{head, session}.Keyed())
+		assert.Equal(t, []KeyedPart{{namekey.Of("head"), 2000}, {namekey.Of("session"), 500}}, Prompt{head, session}.KeyedParts())
 	})
 }
--- a/internal/quarantine/event_log.go
+++ b/internal/quarantine/event_log.go
@@ -19,11 +19,11 @@
 
 // loggedEvent is an event with the time at which it occurred.
 type loggedEvent struct {
-	event Ending
+	event CrashEvent
 	atMs  clock.Millis
 }
 
-func (l *eventLog) add(e Ending, at clock.Millis) {
+func (l *eventLog) add(e CrashEvent, at clock.Millis) {
 	l.events = append(l.events, loggedEvent{event: e, atMs: at})
 	l.nextSeq++
 	if len(l.events) >= 2*minEventLogLength {
@@ -34,13 +34,13 @@
 
 // since returns at most limit events from a sequence number on, with their ages, and the sequence
 // number to continue from. A sequence number outside the log's range selects all events.
-func (l *eventLog) since(from int64, limit int, now clock.Millis) ([]Ending, int64) {
+func (l *eventLog) since(from int64, limit int, now clock.Millis) ([]CrashEvent, int64) {
 	oldest := l.nextSeq - int64(len(l.events))
 	if from < oldest || from > l.nextSeq {
 		from = oldest
 	}
 	to := min(l.nextSeq, from+int64(limit))
-	events := []Ending{}
+	events := []CrashEvent{}
 	for _, logged := range l.events[from-oldest : to-oldest] {
 		e := logged.event
 		e.AgeMs = now - logged.atMs
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -12,9 +12,9 @@
 
 // Settings configure when a fingerprint is quarantined. They may change at run time.
 type Settings struct {
-	// Ends is the number of terminated upstreams from which a fingerprint is quarantined. Values
+	// MinCrashes is the number of terminated upstreams from which a fingerprint is quarantined. Values
 	// below 1 disable the quarantine.
-	Ends int
+	MinCrashes int
 	// HoldMs is how long a fingerprint stays quarantined after the latest termination.
 	HoldMs clock.Millis
 }
@@ -23,9 +23,9 @@
 // longer than the quarantine, so that a single further termination starts the next quarantine.
 func (s Settings) retentionMs() clock.Millis { return retentionHolds * s.HoldMs }
 
-// Ending is an event that boxes exchange: an upstream terminated while it ran a request with this
+// CrashEvent is an event that boxes exchange: an upstream terminated while it ran a request with this
 // fingerprint, or an upstream answered such a request completely.
-type Ending struct {
+type CrashEvent struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint Fingerprint
 	// Upstream is the incarnation that terminated.
@@ -63,7 +63,7 @@
 	settings func() Settings
 
 	mu           sync.Mutex
-	fingerprints map[Fingerprint]terminations
+	fingerprints map[Fingerprint]crashes
 	answered     recent
 	events       eventLog
 }
@@ -75,14 +75,14 @@
 	published bool
 }
 
-// terminations holds the terminations of one fingerprint by upstream incarnation.
-type terminations map[namekey.Key]record
+// crashes holds the terminations of one fingerprint by upstream incarnation.
+type crashes map[namekey.Key]record
 
 // New returns an empty ledger. firstSeq is the sequence number of its first event. It must be
 // greater than those that earlier processes of the box assigned.
 func New(steady func() clock.Millis, settings func() Settings, firstSeq int64) *Ledger {
 	return &Ledger{
-		steady: steady, settings: settings, fingerprints: map[Fingerprint]terminations{}, answered: newRecent(),
+		steady: steady, settings: settings, fingerprints: map[Fingerprint]crashes{}, answered: newRecent(),
 		events: eventLog{nextSeq: firstSeq},
 	}
 }
@@ -90,9 +90,9 @@
 // Settings returns the current settings.
 func (l *Ledger) Settings() Settings { return l.settings() }
 
-// Ended records that an upstream terminated while it ran a request with the fingerprint. It reports
+// RecordCrash records that an upstream terminated while it ran a request with the fingerprint. It reports
 // whether this starts a quarantine of the fingerprint.
-func (l *Ledger) Ended(fingerprint Fingerprint, upstream namekey.Key) (held bool) {
+func (l *Ledger) RecordCrash(fingerprint Fingerprint, upstream namekey.Key) (held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.record(fingerprint, upstream, l.steady(), true)
@@ -110,38 +110,38 @@
 	}
 	if known == nil {
 		l.evict()
-		known = terminations{}
+		known = crashes{}
 		l.fingerprints[fingerprint] = known
 	}
-	before := l.remainingHoldMs(known)
+	before := l.remainingMs(known)
 	known[upstream] = record{atMs: at}
-	if publish || len(known) >= minRelayTerminations {
+	if publish || len(known) >= minRelayedCrashes {
 		l.publish(fingerprint, known)
 	}
-	return before == 0 && l.remainingHoldMs(known) > 0
+	return before == 0 && l.remainingMs(known) > 0
 }
 
-// minRelayTerminations is the number of terminations of a fingerprint from which a box relays those
+// minRelayedCrashes is the number of terminations of a fingerprint from which a box relays those
 // that it learned from other boxes. Below it, only the boxes that observed a termination publish it:
 // relaying every termination cost each of 64 boxes 1,735 bytes per termination instead of 84
 // (TestEndingBytes).
-const minRelayTerminations = 2
+const minRelayedCrashes = 2
 
 // publish adds the terminations that are not yet published to this box's event log.
-func (l *Ledger) publish(fingerprint Fingerprint, known terminations) {
+func (l *Ledger) publish(fingerprint Fingerprint, known crashes) {
 	for _, upstream := range slices.Sorted(maps.Keys(known)) {
 		r := known[upstream]
 		if r.published {
 			continue
 		}
-		l.events.add(Ending{Fingerprint: fingerprint, Upstream: upstream}, r.atMs)
+		l.events.add(CrashEvent{Fingerprint: fingerprint, Upstream: upstream}, r.atMs)
 		known[upstream] = record{atMs: r.atMs, published: true}
 	}
 }
 
-// Answered records that an upstream answered a request with the fingerprint completely. It reports
+// RecordAnswer records that an upstream answered a request with the fingerprint completely. It reports
 // whether this ends a quarantine of the fingerprint.
-func (l *Ledger) Answered(fingerprint Fingerprint) (released bool) {
+func (l *Ledger) RecordAnswer(fingerprint Fingerprint) (released bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.clearAnswered(fingerprint, l.steady())
@@ -151,7 +151,7 @@
 func (l *Ledger) clearAnswered(fingerprint Fingerprint, at clock.Millis) (released bool) {
 	l.answered.mark(fingerprint, at)
 	known := l.fingerprints[fingerprint]
-	before := l.remainingHoldMs(known)
+	before := l.remainingMs(known)
 	count := len(known)
 	maps.DeleteFunc(known, func(_ namekey.Key, r record) bool { return r.atMs <= at })
 	if len(known) == count {
@@ -160,14 +160,14 @@
 	if len(known) == 0 {
 		delete(l.fingerprints, fingerprint)
 	}
-	l.events.add(Ending{Fingerprint: fingerprint, Answered: true}, at)
-	return before > 0 && l.remainingHoldMs(known) == 0
+	l.events.add(CrashEvent{Fingerprint: fingerprint, Answered: true}, at)
+	return before > 0 && l.remainingMs(known) == 0
 }
 
-// Learn merges events received from another box. If passOn is set, they are relayed in any case, as
+// RecordEvents merges events received from another box. If passOn is set, they are relayed in any case, as
 // needed in a fleet that is too large for each box to reach all others. It returns the fingerprints
 // whose quarantine this starts.
-func (l *Ledger) Learn(list []Ending, passOn bool) (held []Fingerprint) {
+func (l *Ledger) RecordEvents(list []CrashEvent, passOn bool) (held []Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now, retention := l.steady(), l.settings().retentionMs()
@@ -184,24 +184,24 @@
 	return held
 }
 
-// HeldMs returns how much longer a fingerprint is quarantined, or 0.
-func (l *Ledger) HeldMs(fingerprint Fingerprint) clock.Millis {
+// QuarantineRemainingMs returns how much longer a fingerprint is quarantined, or 0.
+func (l *Ledger) QuarantineRemainingMs(fingerprint Fingerprint) clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.remainingHoldMs(l.fingerprints[fingerprint])
+	return l.remainingMs(l.fingerprints[fingerprint])
 }
 
-func (l *Ledger) remainingHoldMs(known terminations) clock.Millis {
+func (l *Ledger) remainingMs(known crashes) clock.Millis {
 	s := l.settings()
-	if s.Ends < 1 || len(known) < s.Ends {
+	if s.MinCrashes < 1 || len(known) < s.MinCrashes {
 		return 0
 	}
 	return max(0, known.newest()+s.HoldMs-l.steady())
 }
 
-// Since returns at most limit events from a sequence number on, and the sequence number to continue
+// EventsSince returns at most limit events from a sequence number on, and the sequence number to continue
 // from.
-func (l *Ledger) Since(from int64, limit int) ([]Ending, int64) {
+func (l *Ledger) EventsSince(from int64, limit int) ([]CrashEvent, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.events.since(from, limit, l.steady())
@@ -216,21 +216,21 @@
 	AgeMs clock.Millis
 }
 
-// Held returns all quarantined fingerprints in ascending order.
-func (l *Ledger) Held() []Suspect {
+// Quarantined returns all quarantined fingerprints in ascending order.
+func (l *Ledger) Quarantined() []Suspect {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.suspects(func(known terminations) bool { return l.remainingHoldMs(known) > 0 })
+	return l.suspects(func(known crashes) bool { return l.remainingMs(known) > 0 })
 }
 
 // Suspects returns all fingerprints with at least minUpstreams terminations in ascending order.
 func (l *Ledger) Suspects(minUpstreams int) []Suspect {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.suspects(func(known terminations) bool { return len(known) >= minUpstreams })
+	return l.suspects(func(known crashes) bool { return len(known) >= minUpstreams })
 }
 
-func (l *Ledger) suspects(match func(known terminations) bool) []Suspect {
+func (l *Ledger) suspects(match func(known crashes) bool) []Suspect {
 	list := []Suspect{}
 	now := l.steady()
 	for fingerprint, known := range l.fingerprints {
@@ -249,7 +249,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	oldest := l.steady() - l.settings().retentionMs()
-	maps.DeleteFunc(l.fingerprints, func(_ Fingerprint, known terminations) bool { return known.newest() <= oldest })
+	maps.DeleteFunc(l.fingerprints, func(_ Fingerprint, known crashes) bool { return known.newest() <= oldest })
 }
 
 // Sizes holds the sizes of a ledger for metrics.
@@ -257,15 +257,15 @@
 	// Fingerprints is the number of fingerprints with terminations, Held the number of those in
 	// quarantine.
 	Fingerprints int `json:"fingerprints"`
-	Held         int `json:"held"`
+	Quarantined         int `json:"held"`
 }
 
 // Sizes returns the sizes of the ledger for metrics.
 func (l *Ledger) Sizes() Sizes {
-	held := len(l.Held())
+	held := len(l.Quarantined())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Sizes{Fingerprints: len(l.fingerprints), Held: held}
+	return Sizes{Fingerprints: len(l.fingerprints), Quarantined: held}
 }
 
 // evict keeps the ledger within its limit. It removes fingerprints with the fewest terminations
@@ -285,7 +285,7 @@
 	}
 }
 
-func (t terminations) newest() clock.Millis {
+func (t crashes) newest() clock.Millis {
 	newest := clock.Millis(0)
 	for _, r := range t {
 		newest = max(newest, r.atMs)
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -20,7 +20,7 @@
 }
 
 func newFixture() *fixture {
-	f := &fixture{now: 1000, settings: Settings{Ends: 3, HoldMs: 60 * clock.Second}}
+	f := &fixture{now: 1000, settings: Settings{MinCrashes: 3, HoldMs: 60 * clock.Second}}
 	f.Ledger = New(func() clock.Millis { return f.now }, func() Settings { return f.settings }, 100)
 	return f
 }
@@ -29,7 +29,7 @@
 func (f *fixture) terminate(upstreams ...string) (held bool) {
 	for _, upstream := range upstreams {
 		f.now += clock.Second
-		held = f.Ended(fingerprint, namekey.Of(upstream)) || held
+		held = f.RecordCrash(fingerprint, namekey.Of(upstream)) || held
 	}
 	return held
 }
@@ -38,33 +38,33 @@
 	t.Run("quarantines a fingerprint after three terminations", func(t *testing.T) {
 		f := newFixture()
 		assert.False(t, f.terminate("a", "b"))
-		assert.Zero(t, f.HeldMs(fingerprint))
+		assert.Zero(t, f.QuarantineRemainingMs(fingerprint))
 		assert.True(t, f.terminate("c"))
-		assert.Equal(t, 60*clock.Second, f.HeldMs(fingerprint))
-		assert.Zero(t, f.HeldMs(fingerprint+1))
+		assert.Equal(t, 60*clock.Second, f.QuarantineRemainingMs(fingerprint))
+		assert.Zero(t, f.QuarantineRemainingMs(fingerprint+1))
 	})
 	t.Run("counts the termination of an upstream once, whichever boxes report it", func(t *testing.T) {
 		f := newFixture()
 		f.terminate("a", "a", "b")
-		assert.Empty(t, f.Learn([]Ending{{Fingerprint: fingerprint, Upstream: namekey.Of("a")}}, false))
-		assert.Zero(t, f.HeldMs(fingerprint))
-		assert.Equal(t, []Fingerprint{fingerprint}, f.Learn([]Ending{{Fingerprint: fingerprint, Upstream: namekey.Of("c")}}, false))
+		assert.Empty(t, f.RecordEvents([]CrashEvent{{Fingerprint: fingerprint, Upstream: namekey.Of("a")}}, false))
+		assert.Zero(t, f.QuarantineRemainingMs(fingerprint))
+		assert.Equal(t, []Fingerprint{fingerprint}, f.RecordEvents([]CrashEvent{{Fingerprint: fingerprint, Upstream: namekey.Of("c")}}, false))
 	})
 	t.Run("starts over after an answer", func(t *testing.T) {
 		f := newFixture()
 		f.terminate("a", "b", "c")
-		assert.True(t, f.Answered(fingerprint))
-		assert.Zero(t, f.HeldMs(fingerprint))
+		assert.True(t, f.RecordAnswer(fingerprint))
+		assert.Zero(t, f.QuarantineRemainingMs(fingerprint))
 	})
 	t.Run("keeps terminations after an answer that is reported late", func(t *testing.T) {
 		f := newFixture()
 		f.terminate("a", "b", "c")
-		f.Learn([]Ending{{Fingerprint: fingerprint, Answered: true, AgeMs: 1500}}, false)
+		f.RecordEvents([]CrashEvent{{Fingerprint: fingerprint, Answered: true, AgeMs: 1500}}, false)
 		assert.Len(t, f.Suspects(1)[0].Upstreams, 2)
 	})
 	t.Run("ignores terminations shortly after an answer", func(t *testing.T) {
 		f := newFixture()
-		f.Answered(fingerprint)
+		f.RecordAnswer(fingerprint)
 		assert.False(t, f.terminate("a", "b", "c"))
 		f.now += answeredGraceMs
 		assert.True(t, f.terminate("d", "e", "f"))
@@ -73,7 +73,7 @@
 		f := newFixture()
 		f.terminate("a", "b", "c")
 		f.now += 60 * clock.Second
-		assert.Zero(t, f.HeldMs(fingerprint))
+		assert.Zero(t, f.QuarantineRemainingMs(fingerprint))
 		assert.True(t, f.terminate("d"))
 	})
 	t.Run("removes expired fingerprints", func(t *testing.T) {
@@ -85,24 +85,24 @@
 	})
 	t.Run("ignores events that are too old, so that boxes don't relay them to each other for ever", func(t *testing.T) {
 		f := newFixture()
-		f.Learn([]Ending{{Fingerprint: fingerprint, Upstream: 1, AgeMs: 120 * clock.Second}}, false)
+		f.RecordEvents([]CrashEvent{{Fingerprint: fingerprint, Upstream: 1, AgeMs: 120 * clock.Second}}, false)
 		assert.Equal(t, Sizes{}, f.Sizes())
 	})
 	t.Run("quarantines nothing when it is disabled", func(t *testing.T) {
 		f := newFixture()
 		f.terminate("a", "b", "c")
-		f.settings.Ends = 0
-		assert.Zero(t, f.HeldMs(fingerprint))
-		assert.Empty(t, f.Held())
+		f.settings.MinCrashes = 0
+		assert.Zero(t, f.QuarantineRemainingMs(fingerprint))
+		assert.Empty(t, f.Quarantined())
 	})
 	t.Run("stays within its limit and keeps quarantined fingerprints", func(t *testing.T) {
 		f := newFixture()
 		f.terminate("a", "b", "c")
 		for i := range 3 * maxFingerprints {
-			f.Ended(Fingerprint(1000+i), 1)
+			f.RecordCrash(Fingerprint(1000+i), 1)
 		}
 		assert.LessOrEqual(t, f.Sizes().Fingerprints, maxFingerprints)
-		assert.NotZero(t, f.HeldMs(fingerprint))
+		assert.NotZero(t, f.QuarantineRemainingMs(fingerprint))
 	})
 }
 
@@ -110,46 +110,46 @@
 	t.Run("are returned from a sequence number on, with their ages", func(t *testing.T) {
 		f := newFixture()
 		f.terminate("a", "b")
-		f.Answered(fingerprint)
-		list, to := f.Since(0, 2)
-		assert.Equal(t, []Ending{
+		f.RecordAnswer(fingerprint)
+		list, to := f.EventsSince(0, 2)
+		assert.Equal(t, []CrashEvent{
 			{Fingerprint: fingerprint, Upstream: namekey.Of("a"), AgeMs: clock.Second},
 			{Fingerprint: fingerprint, Upstream: namekey.Of("b")},
 		}, list)
-		list, to = f.Since(to, 2)
-		assert.Equal(t, []Ending{{Fingerprint: fingerprint, Answered: true}}, list)
-		list, _ = f.Since(to, 2)
+		list, to = f.EventsSince(to, 2)
+		assert.Equal(t, []CrashEvent{{Fingerprint: fingerprint, Answered: true}}, list)
+		list, _ = f.EventsSince(to, 2)
 		assert.Empty(t, list)
 	})
 	t.Run("of other boxes are relayed from the second termination on", func(t *testing.T) {
 		f := newFixture()
-		f.Learn([]Ending{{Fingerprint: fingerprint, Upstream: 1}}, false)
-		list, _ := f.Since(0, 9)
+		f.RecordEvents([]CrashEvent{{Fingerprint: fingerprint, Upstream: 1}}, false)
+		list, _ := f.EventsSince(0, 9)
 		assert.Empty(t, list)
-		f.Learn([]Ending{{Fingerprint: fingerprint, Upstream: 2}}, false)
-		list, _ = f.Since(0, 9)
+		f.RecordEvents([]CrashEvent{{Fingerprint: fingerprint, Upstream: 2}}, false)
+		list, _ = f.EventsSince(0, 9)
 		assert.Len(t, list, 2)
 	})
 	t.Run("of other boxes are relayed once", func(t *testing.T) {
 		f := newFixture()
-		received := []Ending{{Fingerprint: fingerprint, Upstream: 1}}
-		f.Learn(received, true)
-		f.Learn(received, true)
-		list, _ := f.Since(0, 9)
+		received := []CrashEvent{{Fingerprint: fingerprint, Upstream: 1}}
+		f.RecordEvents(received, true)
+		f.RecordEvents(received, true)
+		list, _ := f.EventsSince(0, 9)
 		assert.Len(t, list, 1)
 	})
 	t.Run("are all returned for a sequence number that was never assigned", func(t *testing.T) {
 		f := newFixture()
 		f.terminate("a")
-		list, _ := f.Since(1<<40, 9)
+		list, _ := f.EventsSince(1<<40, 9)
 		assert.Len(t, list, 1)
 	})
 	t.Run("are limited in number", func(t *testing.T) {
 		f := newFixture()
 		for i := range 4 * minEventLogLength {
-			f.Ended(Fingerprint(i), namekey.Of(strconv.Itoa(i)))
+			f.RecordCrash(Fingerprint(i), namekey.Of(strconv.Itoa(i)))
 		}
-		list, _ := f.Since(0, 4*minEventLogLength)
+		list, _ := f.EventsSince(0, 4*minEventLogLength)
 		assert.Less(t, len(list), 2*minEventLogLength)
 		assert.GreaterOrEqual(t, len(list), minEventLogLength)
 	})
--- a/internal/route/view.go
+++ b/internal/route/view.go
@@ -184,8 +184,8 @@
 	v.Members[index].OwnAtReport = ownAtReport
 }
 
-// SetLeaving sets whether a member is leaving and accepts no new work.
-func (v *View) SetLeaving(index int, leaving bool) {
+// SetDraining sets whether a member is leaving and accepts no new work.
+func (v *View) SetDraining(index int, leaving bool) {
 	v.Members[index].Draining = leaving
 	v.refreshWeights()
 }
--- a/internal/routebench/run.go
+++ b/internal/routebench/run.go
@@ -254,6 +254,6 @@
 		if r.scenario.ViewLagMs > 0 {
 			delay = clock.Millis(r.random.Int64N(int64(r.scenario.ViewLagMs)))
 		}
-		r.events.add(r.now+delay, func() { v.SetLeaving(position, leaving) })
+		r.events.add(r.now+delay, func() { v.SetDraining(position, leaving) })
 	}
 }
--- a/pkg/config/gateway.go
+++ b/pkg/config/gateway.go
@@ -95,11 +95,11 @@
 // Quarantine configures when a repeated request is held back because upstreams crash while
 // they run it.
 type Quarantine struct {
-	// AfterEnds is the number of crashed upstreams after which a request is held back. The
+	// MinCrashes is the number of crashed upstreams after which a request is held back. The
 	// default is 3: an innocent request that ran on a crashed upstream sometimes meets a
 	// second crash, but hardly ever a third one (10 of 47,800 on a day on which 45 of 112
 	// engines crashed). 0 disables the quarantine.
-	AfterEnds *int `yaml:"after_ends"`
+	MinCrashes *int `yaml:"after_ends"`
 	// HoldMs is how long a request is held back after the most recent crash under it.
 	HoldMs int64 `yaml:"hold_ms"`
 }
@@ -188,7 +188,7 @@
 	if g.Balance.LoadCap < 0 || g.Balance.LoadCap > 0 && g.Balance.LoadCap <= 1 {
 		errs = append(errs, &FieldError{Key: "balance.load_cap", Reason: "is not above 1"})
 	}
-	if g.Quarantine.AfterEnds != nil && *g.Quarantine.AfterEnds < 0 {
+	if g.Quarantine.MinCrashes != nil && *g.Quarantine.MinCrashes < 0 {
 		errs = append(errs, &FieldError{Key: "quarantine.after_ends", Reason: "is negative"})
 	}
 	if g.Shutdown.GraceS < 0 {
