--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -74,7 +74,7 @@
 		f := newFixture(t, 3)
 		first := f.pick(t, sticky("s"))
 		first.Release(Succeeded)
-		f.SetOthers(map[namekey.Key]int{namekey.Of(first.ID): 30})
+		f.SetOthersInFlight(map[namekey.Key]int{namekey.Of(first.ID): 30})
 		assert.NotEqual(t, first.ID, f.pick(t, sticky("s")).ID)
 	})
 	t.Run("an engine's own load report counts while it is recent", func(t *testing.T) {
@@ -94,7 +94,7 @@
 		a.Transfers = true
 		first := f.pick(t, a)
 		assert.Empty(t, first.FetchFrom)
-		f.SetOthers(map[namekey.Key]int{namekey.Of(first.ID): 30})
+		f.SetOthersInFlight(map[namekey.Key]int{namekey.Of(first.ID): 30})
 		assert.Equal(t, first.Address, f.pick(t, a).FetchFrom)
 	})
 }
@@ -171,7 +171,7 @@
 					l.Release(Failed)
 					continue
 				}
-				l.Answered()
+				l.RecordResponseStart()
 				l.Release(Succeeded)
 			}
 		}
@@ -205,7 +205,7 @@
 		f.pick(t, ask("other")).Release(Succeeded)
 		holder := f.pick(t, ask("s"))
 		holder.Release(Succeeded)
-		f.SetOthers(map[namekey.Key]int{namekey.Of(holder.ID): 30})
+		f.SetOthersInFlight(map[namekey.Key]int{namekey.Of(holder.ID): 30})
 		assert.Equal(t, holder.Address, f.pick(t, ask("s")).FetchFrom)
 	})
 	t.Run("nothing is fetched that no engine is known to cache", func(t *testing.T) {
@@ -214,7 +214,7 @@
 		holder.Release(Succeeded)
 		// This is the state if another box sent the request there.
 		clear(holder.parts)
-		f.SetOthers(map[namekey.Key]int{namekey.Of(holder.ID): 30})
+		f.SetOthersInFlight(map[namekey.Key]int{namekey.Of(holder.ID): 30})
 		assert.Empty(t, f.pick(t, ask("s")).FetchFrom)
 	})
 	t.Run("a new session fetches its head from an engine that caches it", func(t *testing.T) {
--- a/internal/balance/fetch.go
+++ b/internal/balance/fetch.go
@@ -34,7 +34,7 @@
 // likely sent the session to that engine.
 func (m *Manager) likelyHolder(lease *Lease, order []*Member, now clock.Millis) string {
 	first := order[0]
-	if m.running == nil || first == lease.Member || first.refuses(now) || !m.usable(first, now) {
+	if m.fleetInFlightByPool == nil || first == lease.Member || first.refuses(now) || !m.usable(first, now) {
 		return ""
 	}
 	return first.Address
--- a/internal/balance/largefleet_test.go
+++ b/internal/balance/largefleet_test.go
@@ -107,7 +107,7 @@
 // completeDue starts and completes the responses that are due at this instant.
 func (f *largeFleet) completeDue() {
 	for _, lease := range f.responseStarts[f.now] {
-		lease.Answered()
+		lease.RecordResponseStart()
 		lease.Report(f.engineLoad[lease.ID])
 	}
 	delete(f.responseStarts, f.now)
@@ -143,7 +143,7 @@
 func (f *largeFleet) gossipRunning() {
 	for i, m := range f.boxes {
 		if int(f.now)%msPerSecond == i*msPerSecond/len(f.boxes) {
-			m.SetRunning(map[namekey.Key]int{namekey.Of("p"): f.approximate(f.running)})
+			m.SetFleetInFlightByPool(map[namekey.Key]int{namekey.Of("p"): f.approximate(f.running)})
 		}
 	}
 }
--- a/internal/balance/manager.go
+++ b/internal/balance/manager.go
@@ -50,9 +50,9 @@
 	retries map[string]*retrySchedule
 	// hotSessions counts the recent requests of each session, by pool.
 	hotSessions map[string]*sessionCounts
-	// running is the number of requests that all boxes run, by pool, in a fleet so large that boxes
+	// fleetInFlightByPool is the number of requests that all boxes run, by pool, in a fleet so large that boxes
 	// don't share their loads by upstream. It is nil in smaller fleets.
-	running map[namekey.Key]int
+	fleetInFlightByPool map[namekey.Key]int
 	// othersAgeMs is the average age of the load reports from other boxes.
 	othersAgeMs clock.Millis
 	// departedSignals holds the signals of upstreams whose entries are gone, by ID.
@@ -141,8 +141,8 @@
 	return old
 }
 
-// SetOthers sets the number of requests that the other boxes have in flight, by upstream.
-func (m *Manager) SetOthers(others map[namekey.Key]int) {
+// SetOthersInFlight sets the number of requests that the other boxes have in flight, by upstream.
+func (m *Manager) SetOthersInFlight(others map[namekey.Key]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, member := range m.byID {
@@ -150,8 +150,8 @@
 	}
 }
 
-// SetOthersAge sets the average age of the load reports from other boxes.
-func (m *Manager) SetOthersAge(age clock.Millis) {
+// SetOthersInFlightAge sets the average age of the load reports from other boxes.
+func (m *Manager) SetOthersInFlightAge(age clock.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.othersAgeMs = age
--- a/internal/balance/netpath_test.go
+++ b/internal/balance/netpath_test.go
@@ -29,7 +29,7 @@
 		for range minResponding {
 			l := f.pick(t, Ask{Pool: "p"})
 			require.Equal(t, "d0", l.FailureDomain)
-			l.Answered()
+			l.RecordResponseStart()
 		}
 		f.now += maxResponseSilenceMs
 		assert.Empty(t, dueProbes(f))
@@ -41,7 +41,7 @@
 		f := newFixture(t, 6)
 		for range minResponding {
 			l := f.pick(t, Ask{Pool: "p"})
-			l.Answered()
+			l.RecordResponseStart()
 			l.Release(Succeeded)
 		}
 		f.now += maxResponseSilenceMs + 1
@@ -49,7 +49,7 @@
 	})
 	t.Run("a domain with heartbeats may be silent for one round trip of datagrams longer", func(t *testing.T) {
 		f := newFixture(t, 6)
-		f.HeardFrom("d1")
+		f.RecordContact("d1")
 		f.now += heartbeatMs + heartbeatGraceMs
 		assert.Empty(t, dueProbes(f))
 		f.now++
@@ -57,14 +57,14 @@
 	})
 	t.Run("a domain without heartbeats may be silent", func(t *testing.T) {
 		f := newFixture(t, 6)
-		f.HeardFrom("d1")
+		f.RecordContact("d1")
 		f.now += 10 * heartbeatMs
 		assert.Empty(t, f.Probes(nil, false))
 	})
 	t.Run("a domain that opens connections and sends nothing is probed less often", func(t *testing.T) {
 		f := newFixture(t, 6)
 		f.now += 2 * heartbeatMs
-		f.Probed("d1", true)
+		f.RecordProbe("d1", true)
 		f.now += quietProbeIntervalMs - 1
 		assert.NotContains(t, dueProbes(f), "d1")
 		f.now++
@@ -73,9 +73,9 @@
 	t.Run("a domain that falls silent after a new contact is probed at the usual interval", func(t *testing.T) {
 		f := newFixture(t, 6)
 		f.now += 2 * heartbeatMs
-		f.Probed("d1", true)
+		f.RecordProbe("d1", true)
 		f.now += probeIntervalMs
-		f.HeardFrom("d1")
+		f.RecordContact("d1")
 		f.now += heartbeatMs + heartbeatGraceMs + 1
 		assert.Contains(t, dueProbes(f), "d1")
 	})
@@ -87,16 +87,16 @@
 	})
 	t.Run("upstreams behind a partition receive nothing until a connection opens", func(t *testing.T) {
 		f := newFixture(t, 6)
-		_, changed := f.Probed("d0", false)
+		_, changed := f.RecordProbe("d0", false)
 		require.True(t, changed)
-		_, changed = f.Probed("d0", false)
+		_, changed = f.RecordProbe("d0", false)
 		require.False(t, changed)
 		for range 20 {
 			assert.NotEqual(t, "d0", f.pick(t, Ask{Pool: "p"}).FailureDomain)
 		}
 		f.now += probeIntervalMs
 		assert.Contains(t, dueProbes(f), "d0")
-		outage, changed := f.Probed("d0", true)
+		outage, changed := f.RecordProbe("d0", true)
 		require.True(t, changed)
 		assert.Equal(t, probeIntervalMs, outage)
 		assert.Equal(t, "d0", f.pick(t, Ask{Pool: "p"}).FailureDomain)
@@ -107,20 +107,20 @@
 		for _, name := range []string{"running", "ended"} {
 			l := f.pick(t, Ask{Pool: "p"})
 			require.Equal(t, "d0", l.FailureDomain)
-			l.OnCut(func() { notified = append(notified, name) })
+			l.OnPartition(func() { notified = append(notified, name) })
 			if name == "ended" {
 				l.Release(Succeeded)
 			}
 		}
-		f.Probed("d0", false)
-		f.Probed("d0", true)
-		f.Probed("d0", false)
+		f.RecordProbe("d0", false)
+		f.RecordProbe("d0", true)
+		f.RecordProbe("d0", false)
 		assert.Equal(t, []string{"running"}, notified)
 	})
 	t.Run("when all domains are partitioned, there is no upstream", func(t *testing.T) {
 		f := newFixture(t, 6)
 		for _, name := range []string{"d0", "d1", "d2"} {
-			f.Probed(name, false)
+			f.RecordProbe(name, false)
 		}
 		_, err := f.Pick(Ask{Pool: "p"})
 		require.ErrorIs(t, err, ErrNoUpstream)
--- a/internal/balance/parts_test.go
+++ b/internal/balance/parts_test.go
@@ -62,14 +62,14 @@
 		f := newFixture(t, 6)
 		l := f.pick(t, ask)
 		assertAnnounced(t, f, l.ID)
-		l.Answered()
+		l.RecordResponseStart()
 		assertAnnounced(t, f, l.ID, "head", "s")
 	})
 	t.Run("parts are announced again only when their last record is old", func(t *testing.T) {
 		f := newFixture(t, 6)
 		again := func() *Lease {
 			l := f.pick(t, ask)
-			l.Answered()
+			l.RecordResponseStart()
 			l.Release(Succeeded)
 			return l
 		}
--- a/internal/balance/permits.go
+++ b/internal/balance/permits.go
@@ -63,16 +63,16 @@
 	l.inFlight--
 }
 
-// SetRunning sets the number of requests that all boxes run, by pool. Nil means that boxes share
+// SetFleetInFlightByPool sets the number of requests that all boxes run, by pool. Nil means that boxes share
 // their loads by upstream.
-func (m *Manager) SetRunning(running map[namekey.Key]int) {
+func (m *Manager) SetFleetInFlightByPool(running map[namekey.Key]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.running = running
+	m.fleetInFlightByPool = running
 }
 
-// Running returns the number of requests that this box runs, by pool. Zeros are omitted.
-func (m *Manager) Running() map[namekey.Key]int {
+// InFlightByPool returns the number of requests that this box runs, by pool. Zeros are omitted.
+func (m *Manager) InFlightByPool() map[namekey.Key]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sums := map[namekey.Key]int{}
@@ -94,5 +94,5 @@
 		known += member.load(now)
 	}
 	share := float64(len(members)) / float64(max(1, len(m.pools[pool])))
-	return max(known, int(math.Round(share*float64(m.running[namekey.Of(pool)]))))
+	return max(known, int(math.Round(share*float64(m.fleetInFlightByPool[namekey.Of(pool)]))))
 }
--- a/internal/balance/permits_test.go
+++ b/internal/balance/permits_test.go
@@ -32,7 +32,7 @@
 func inLargeFleet(t *testing.T, running int) *fixture {
 	t.Helper()
 	f := newFixture(t, 12)
-	f.SetRunning(map[namekey.Key]int{namekey.Of("p"): running})
+	f.SetFleetInFlightByPool(map[namekey.Key]int{namekey.Of("p"): running})
 	return f
 }
 
@@ -102,5 +102,5 @@
 	for range 3 {
 		f.pick(t, sticky("s"))
 	}
-	assert.Equal(t, map[namekey.Key]int{namekey.Of("p"): 3}, f.Running())
+	assert.Equal(t, map[namekey.Key]int{namekey.Of("p"): 3}, f.InFlightByPool())
 }
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -159,7 +159,7 @@
 		}
 	}
 	lease.Rank = slices.Index(ranked, lease.Member)
-	if m.running != nil {
+	if m.fleetInFlightByPool != nil {
 		lease.bound = bound
 	}
 }
@@ -194,7 +194,7 @@
 // there was 0.873, 0.894 and 0.889 without and 0.872, 0.891 and 0.879 with it, as more prompts are
 // prefilled again. Six boxes exchange loads every 0.25 s, and their bound stays the same.
 func (m *Manager) unreportedLoad(load int) int {
-	if m.running != nil {
+	if m.fleetInFlightByPool != nil {
 		// Owners count the load that boxes don't report to each other.
 		return 0
 	}
@@ -278,9 +278,9 @@
 	return true
 }
 
-// OnCut sets a callback that is called once if the path to the upstream becomes partitioned before
+// OnPartition sets a callback that is called once if the path to the upstream becomes partitioned before
 // the lease ends.
-func (l *Lease) OnCut(callback func()) {
+func (l *Lease) OnPartition(callback func()) {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
 	l.path.onOutage[l] = callback
@@ -295,12 +295,12 @@
 	l.reportedMs = l.manager.steady()
 }
 
-// Heard records that a part of the response arrived, which shows that the path to the upstream
+// RecordContact records that a part of the response arrived, which shows that the path to the upstream
 // works.
-func (l *Lease) Heard() { l.path.recordContact(l.manager.steady()) }
+func (l *Lease) RecordContact() { l.path.recordContact(l.manager.steady()) }
 
-// Answered records that the response has started.
-func (l *Lease) Answered() {
+// RecordResponseStart records that the response has started.
+func (l *Lease) RecordResponseStart() {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
 	l.manager.recordResponseStart(l.Member)
--- a/internal/balance/prefill_test.go
+++ b/internal/balance/prefill_test.go
@@ -24,8 +24,8 @@
 		return second.Prefill
 	}
 	full := func(f *fixture, first *Lease) {
-		first.Answered()
-		f.SetOthers(map[namekey.Key]int{namekey.Of(first.ID): 30})
+		first.RecordResponseStart()
+		f.SetOthersInFlight(map[namekey.Key]int{namekey.Of(first.ID): 30})
 	}
 	t.Run("the engine that caches the prompt prefills nothing", func(t *testing.T) {
 		f := newFixture(t, 6)
@@ -40,12 +40,12 @@
 	})
 	t.Run("two engines prefill the prompt concurrently while the first has not responded", func(t *testing.T) {
 		got := secondPrefill(t, transfers, func(f *fixture, first *Lease) {
-			f.SetOthers(map[namekey.Key]int{namekey.Of(first.ID): 30})
+			f.SetOthersInFlight(map[namekey.Key]int{namekey.Of(first.ID): 30})
 		})
 		assert.Equal(t, Prefill{Tokens: 1000, Reason: PrefillConcurrent}, got)
 	})
 	t.Run("an engine prefills the prompt when the one that caches it is behind a partition", func(t *testing.T) {
-		got := secondPrefill(t, sticky("s"), func(f *fixture, first *Lease) { f.Probed(first.FailureDomain, false) })
+		got := secondPrefill(t, sticky("s"), func(f *fixture, first *Lease) { f.RecordProbe(first.FailureDomain, false) })
 		assert.Equal(t, Prefill{Tokens: 1000, Reason: PrefillEngineUnreachable}, got)
 	})
 	t.Run("an engine prefills the prompt when the one that cached it is gone", func(t *testing.T) {
--- a/internal/balance/probes.go
+++ b/internal/balance/probes.go
@@ -39,8 +39,8 @@
 	Clients       []*upstream.Client
 }
 
-// HeardFrom records that another box of a failure domain sent a message.
-func (m *Manager) HeardFrom(failureDomain string) {
+// RecordContact records that another box of a failure domain sent a message.
+func (m *Manager) RecordContact(failureDomain string) {
 	m.mu.Lock()
 	p := m.pathTo(failureDomain)
 	m.mu.Unlock()
@@ -87,9 +87,9 @@
 	return all[:min(maxProbeTargets, len(all))]
 }
 
-// Probed records the result of a probe: opened is set if any connection was opened, or was refused
+// RecordProbe records the result of a probe: opened is set if any connection was opened, or was refused
 // by a reachable host. It returns how long the path was partitioned, and whether its state changed.
-func (m *Manager) Probed(name string, opened bool) (outageMs clock.Millis, changed bool) {
+func (m *Manager) RecordProbe(name string, opened bool) (outageMs clock.Millis, changed bool) {
 	outageMs, changed, callbacks := m.recordProbe(name, opened)
 	for _, callback := range callbacks {
 		callback()
--- a/internal/balance/retryafter_test.go
+++ b/internal/balance/retryafter_test.go
@@ -56,7 +56,7 @@
 	t.Run("behind a partition, callers retry after the next probe", func(t *testing.T) {
 		f := newFixture(t, 1)
 		busy(t, f, 10)
-		f.Probed("d0", false)
+		f.RecordProbe("d0", false)
 		f.now += 50
 		assert.InDelta(t, int(probeIntervalMs)-50+10, int(f.RetryAfterMs("p", 0)), 1)
 	})
--- a/internal/balance/signals.go
+++ b/internal/balance/signals.go
@@ -113,9 +113,9 @@
 	return changed
 }
 
-// MaySend returns an error if the request must not be sent once its connection is open: the
+// CheckBeforeSend returns an error if the request must not be sent once its connection is open: the
 // upstream may have asked for a backoff, or announced its shutdown, since it was picked.
-func (l *Lease) MaySend() error {
+func (l *Lease) CheckBeforeSend() error {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
 	switch {
--- a/internal/balance/signals_test.go
+++ b/internal/balance/signals_test.go
@@ -94,8 +94,8 @@
 	})
 	t.Run("a backoff outlasts a partition that heals", func(t *testing.T) {
 		f, first := newBackoffFixture(t, 3)
-		f.Probed(first.FailureDomain, false)
-		f.Probed(first.FailureDomain, true)
+		f.RecordProbe(first.FailureDomain, false)
+		f.RecordProbe(first.FailureDomain, true)
 		assertReceivesRequests(t, f, first.ID, false)
 	})
 	t.Run("a restart ends a backoff that was certainly requested before", func(t *testing.T) {
@@ -122,18 +122,18 @@
 		f := newFixture(t, 3)
 		one, two := f.pick(t, sticky("s")), f.pick(t, sticky("s"))
 		require.Equal(t, one.ID, two.ID)
-		require.NoError(t, two.MaySend())
+		require.NoError(t, two.CheckBeforeSend())
 		one.BackOff(backoffMs, "r")
-		require.ErrorIs(t, two.MaySend(), ErrBackingOff)
+		require.ErrorIs(t, two.CheckBeforeSend(), ErrBackingOff)
 		f.now += backoffMs
-		require.NoError(t, two.MaySend())
+		require.NoError(t, two.CheckBeforeSend())
 	})
 	t.Run("nothing is fetched from an upstream that is backing off", func(t *testing.T) {
 		f := newFixture(t, 6)
 		ask := sticky("s")
 		ask.Transfers = true
 		first := f.pick(t, ask)
-		first.Answered()
+		first.RecordResponseStart()
 		first.Release(Succeeded)
 		first.BackOff(backoffMs, "r")
 		elsewhere := f.pick(t, ask)
@@ -146,7 +146,7 @@
 		trial := f.pick(t, sticky("s"))
 		assert.Equal(t, first.ID, trial.ID)
 		assert.NotEqual(t, first.ID, f.pick(t, sticky("s")).ID)
-		trial.Answered()
+		trial.RecordResponseStart()
 		assert.Equal(t, first.ID, f.pick(t, sticky("s")).ID)
 	})
 	t.Run("a response that arrives while the entry is gone, or later, counts", func(t *testing.T) {
@@ -267,7 +267,7 @@
 		f, l := newDrainingFixture(t)
 		assertReceivesRequests(t, f, l.ID, false)
 		assert.Equal(t, SkipDraining, f.pick(t, sticky("s")).Skipped.Reason)
-		require.ErrorIs(t, l.MaySend(), ErrDraining)
+		require.ErrorIs(t, l.CheckBeforeSend(), ErrDraining)
 	})
 	t.Run("a change of its entry does not end draining", func(t *testing.T) {
 		f, l := newDrainingFixture(t)
@@ -290,7 +290,7 @@
 	})
 	t.Run("parts that it caches are fetched until it is gone", func(t *testing.T) {
 		f, l := newDrainingFixture(t)
-		l.Answered()
+		l.RecordResponseStart()
 		ask := sticky("s")
 		ask.Transfers = true
 		assert.Equal(t, l.Address, f.pick(t, ask).FetchFrom)
--- a/internal/balance/skipped_test.go
+++ b/internal/balance/skipped_test.go
@@ -22,10 +22,10 @@
 		}},
 		{SkipEjected, func(_ *fixture, first *Lease) { first.Release(Unreachable) }},
 		{SkipDomainUnreachable, func(f *fixture, first *Lease) {
-			f.Probed(first.FailureDomain, false)
+			f.RecordProbe(first.FailureDomain, false)
 		}},
 		{SkipOverloaded, func(f *fixture, first *Lease) {
-			f.SetOthers(map[namekey.Key]int{namekey.Of(first.ID): 30})
+			f.SetOthersInFlight(map[namekey.Key]int{namekey.Of(first.ID): 30})
 		}},
 	} {
 		t.Run("an engine is skipped: "+string(c.why), func(t *testing.T) {
--- a/internal/cmd/gatewaycmd/watcher.go
+++ b/internal/cmd/gatewaycmd/watcher.go
@@ -46,7 +46,7 @@
 func (w *watcher) reload(b *gateway.Box) {
 	content, err := os.ReadFile(w.path)
 	if err != nil {
-		b.Ignored("settings file", err)
+		b.ReportInvalidInput("settings file", err)
 		return
 	}
 	if bytes.Equal(content, w.content) {
@@ -55,7 +55,7 @@
 	w.content = content
 	settings, err := config.ParseGateway(w.path, content)
 	if err != nil {
-		b.Ignored("settings file", err)
+		b.ReportInvalidInput("settings file", err)
 		return
 	}
 	b.Reload(settings)
--- a/internal/experiment/day.go
+++ b/internal/experiment/day.go
@@ -198,7 +198,7 @@
 	for _, b := range d.boxes {
 		for i := range domains {
 			if name := fmt.Sprint("d", i); (name == "d0") != (b.domain == "d0") {
-				b.Probed(name, opened)
+				b.RecordProbe(name, opened)
 			}
 		}
 	}
@@ -229,7 +229,7 @@
 				d.tell(other, b, others)
 			}
 		}
-		b.SetOthers(others)
+		b.SetOthersInFlight(others)
 	}
 }
 
--- a/internal/experiment/request.go
+++ b/internal/experiment/request.go
@@ -93,7 +93,7 @@
 	}
 	d.moved += moved
 	took += answerMs + clock.Millis(read/tokensPerMs+moved/movesPerMs)
-	lease.Answered()
+	lease.RecordResponseStart()
 	d.ends = append(d.ends, end{atMs: d.now + took + streamMs, lease: lease})
 	d.served++
 	if took <= objectiveMs {
--- a/internal/gateway/box.go
+++ b/internal/gateway/box.go
@@ -56,7 +56,7 @@
 	core          zapcore.Core
 	log           *decision.Log
 	metrics       *Metrics
-	routingState  *routing.Belief
+	routingState  *routing.StateTracker
 	registry      *registry.Registry
 	balance       *balance.Manager
 	budgets       *retry.Budgets
@@ -124,7 +124,7 @@
 	b.log = decision.New(decision.Settings{
 		MaxLinesPerSecond: settings.Lines.MaxPerSecond, MaxWaiting: logQueueSize,
 	}, b.clock, b.core)
-	b.routingState = routing.NewBelief(b.clock.Steady)
+	b.routingState = routing.NewStateTracker(b.clock.Steady)
 	b.registry = registry.New(b.clock.Steady)
 	b.balance = balance.New(balance.Settings{
 		FailureDomain: settings.FailureDomain, BoundPercent: settings.Balance.BoundPercent,
@@ -151,8 +151,8 @@
 }
 
 // meshKnowledge returns what the box currently knows, for other boxes and for metrics.
-func (b *Box) meshKnowledge() mesh.Knowledge {
-	k := mesh.Knowledge{Position: b.registry.Position(), AgeMs: -1, StoreLost: b.storeLost.Load()}
+func (b *Box) meshKnowledge() mesh.StateSummary {
+	k := mesh.StateSummary{Position: b.registry.Position(), AgeMs: -1, StoreLost: b.storeLost.Load()}
 	if state := b.routingState.State(); state != nil {
 		k.Version = state.Version()
 	}
@@ -255,9 +255,9 @@
 func (b *Box) housekeeping() {
 	b.pauseDetector.check()
 	b.registry.Expire()
-	b.balance.SetOthers(b.peering.mesh.Others())
-	b.balance.SetRunning(b.peering.mesh.Running())
-	b.balance.SetOthersAge(b.peering.mesh.OthersAgeMs())
+	b.balance.SetOthersInFlight(b.peering.mesh.OthersInFlight())
+	b.balance.SetFleetInFlightByPool(b.peering.mesh.FleetInFlightByPool())
+	b.balance.SetOthersInFlightAge(b.peering.mesh.OthersInFlightAgeMs())
 	b.balance.Refresh()
 	b.peering.mesh.ExpirePermits()
 	b.quarantine.Expire()
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -124,10 +124,10 @@
 		// If the context ends, the connection fails.
 		_ = d.box.clock.Sleep(ctx, wait)
 		startMs := d.box.clock.Steady()
-		found := member.Client().Liveness(ctx)
+		found := member.Client().ProbeLiveness(ctx)
 		again = d.handleProbeResult(member.ID, found, startMs) && ctx.Err() == nil
-		if found == upstream.Ended || !d.box.registry.Has(member.Identity()) {
-			d.handleCrash(member.ID, "", found == upstream.Ended)
+		if found == upstream.Dead || !d.box.registry.Has(member.Identity()) {
+			d.handleCrash(member.ID, "", found == upstream.Dead)
 		}
 	}
 }
@@ -147,11 +147,11 @@
 	case upstream.Alive:
 		entry.list = slices.DeleteFunc(entry.list, func(s suspect) bool { return !s.abandoned && s.atMs < startMs })
 		again = slices.ContainsFunc(entry.list, func(s suspect) bool { return !s.abandoned })
-	case upstream.Silent:
+	case upstream.Unresponsive:
 		for i := range entry.list {
 			entry.list[i].abandoned = false
 		}
-	case upstream.Ended:
+	case upstream.Dead:
 	}
 	entry.probing = again
 	return again
@@ -162,7 +162,7 @@
 func (d *crashDetector) handleChanges(changes []registry.Change) {
 	for _, c := range changes {
 		successor := c.Upstream.Incarnation()
-		if c.Gone {
+		if c.Removed {
 			successor = ""
 		}
 		d.handleCrash(c.Upstream.ID, successor, false)
@@ -228,7 +228,7 @@
 func (d *crashDetector) recordFromPeer(list []quarantine.CrashEvent) { d.recordFrom("another box", list) }
 
 func (d *crashDetector) recordFrom(source string, list []quarantine.CrashEvent) {
-	for _, fingerprint := range d.box.quarantine.RecordEvents(list, d.box.peering.mesh.Large()) {
+	for _, fingerprint := range d.box.quarantine.RecordEvents(list, d.box.peering.mesh.IsLarge()) {
 		d.logQuarantined(fingerprint, source)
 	}
 }
--- a/internal/gateway/feedback.go
+++ b/internal/gateway/feedback.go
@@ -13,7 +13,7 @@
 		lease.Report(feedback.InFlight)
 	}
 	if feedback.Err != nil {
-		b.Ignored("response headers of upstream "+lease.ID, feedback.Err)
+		b.ReportInvalidInput("response headers of upstream "+lease.ID, feedback.Err)
 	}
 	event := decision.UpstreamSignaled{Upstream: lease.Incarnation(), Pool: lease.Pool, AnswerTo: request}
 	if feedback.Draining && lease.MarkDraining() {
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -288,7 +288,7 @@
 // storeReaderOf returns the box that reads the store for the others.
 func storeReaderOf(boxes []*running) *running {
 	for _, b := range boxes {
-		if b.peering.mesh.IsSource() {
+		if b.peering.mesh.IsStoreReader() {
 			return b
 		}
 	}
--- a/internal/gateway/ignored_inputs.go
+++ b/internal/gateway/ignored_inputs.go
@@ -24,8 +24,8 @@
 	lastLogged map[string]clock.Millis
 }
 
-// Ignored counts an invalid input and logs it, at a limited rate.
-func (b *Box) Ignored(input string, err error) {
+// ReportInvalidInput counts an invalid input and logs it, at a limited rate.
+func (b *Box) ReportInvalidInput(input string, err error) {
 	b.metrics.InputIgnored()
 	if b.ignoredInputs.shouldLog(input) {
 		b.log.Tell(decision.InputIgnored{Input: input, Err: err.Error()})
--- a/internal/gateway/ignored_inputs_test.go
+++ b/internal/gateway/ignored_inputs_test.go
@@ -20,7 +20,7 @@
 				if b.ignoredInputs.shouldLog("x") {
 					logged++
 				}
-				b.Ignored("x", errors.New("bad"))
+				b.ReportInvalidInput("x", errors.New("bad"))
 				advance(f.t, time.Second)
 			}
 			assert.Equal(f.t, 3, logged)
@@ -46,11 +46,11 @@
 		f.upstream("u2", respondWith("done"))
 		b := f.box(1)
 		sink := b.newStoreSink("store").asSink()
-		sink.Reached("all", errStoreUnavailable)
+		sink.ReportRead("all", errStoreUnavailable)
 		at := b.registry.Position()
 		removal := func(id string, unusable bool) registry.Change {
 			at.Offset++
-			return registry.Change{Upstream: registry.Upstream{ID: id}, Gone: true, Unusable: unusable, Position: at}
+			return registry.Change{Upstream: registry.Upstream{ID: id}, Removed: true, Unusable: unusable, Position: at}
 		}
 		sink.Upstreams([]registry.Change{removal("u1", true), removal("u2", false)})
 		ids := []string{}
--- a/internal/gateway/notes_sync.go
+++ b/internal/gateway/notes_sync.go
@@ -117,7 +117,7 @@
 		return noteSyncIntervalMs
 	}
 	if n.failures == 0 && ctx.Err() == nil {
-		n.box.Ignored("notes in the store", err)
+		n.box.ReportInvalidInput("notes in the store", err)
 	}
 	wait := min(minNotesRetryMs<<min(n.failures, maxDoublings), maxNotesRetryMs)
 	n.failures++
@@ -151,14 +151,14 @@
 
 // readerMissesPeer reports whether this box reads the store for others and a known box is unreachable.
 func (n *noteSyncer) readerMissesPeer() bool {
-	return n.box.peering.mesh.IsSource() && n.box.peering.mesh.Missing()
+	return n.box.peering.mesh.IsStoreReader() && n.box.peering.mesh.HasMissingBox()
 }
 
 // applyNote adds the crashes of a note to the quarantine.
 func (n *noteSyncer) applyNote(name string, data []byte) {
 	var note suspectNote
 	if err := json.Unmarshal(data, &note); err != nil {
-		n.box.Ignored("note "+name+" in the store", err)
+		n.box.ReportInvalidInput("note "+name+" in the store", err)
 		return
 	}
 	n.written[name] = len(note.Upstreams)
@@ -174,7 +174,7 @@
 // writeIfDue writes missing and outdated notes, and deletes the notes of fingerprints that are no longer suspects.
 // It deletes the notes of all failure domains, since some domains may no longer exist.
 func (n *noteSyncer) writeIfDue(ctx context.Context) error {
-	if !n.box.peering.mesh.IsSource() {
+	if !n.box.peering.mesh.IsStoreReader() {
 		return nil
 	}
 	ledger := n.box.quarantine
--- a/internal/gateway/paths.go
+++ b/internal/gateway/paths.go
@@ -29,7 +29,7 @@
 		now := b.clock.Steady()
 		stalled := now-lastMs > pathCheckIntervalMs+stallThresholdMs
 		lastMs = now
-		for _, probe := range b.balance.Probes(b.peering.mesh.AskEach(), stalled) {
+		for _, probe := range b.balance.Probes(b.peering.mesh.DomainPingIntervals(), stalled) {
 			probing.Go(func() { b.probe(ctx, probe) })
 		}
 	})
@@ -39,11 +39,11 @@
 func (b *Box) probe(ctx context.Context, probe balance.Probe) {
 	startMs := b.clock.Steady()
 	reachable := anyReachable(ctx, probe.Clients)
-	if !reachable && b.clock.Steady()-startMs > upstream.ReachMs+stallThresholdMs {
+	if !reachable && b.clock.Steady()-startMs > upstream.HostReachableTimeoutMs+stallThresholdMs {
 		// This process stalled during the probe, so its timeouts prove nothing.
 		reachable = anyReachable(ctx, probe.Clients)
 	}
-	if downMs, changed := b.balance.Probed(probe.FailureDomain, reachable); changed {
+	if downMs, changed := b.balance.RecordProbe(probe.FailureDomain, reachable); changed {
 		b.log.Tell(decision.Dependency{
 			Dependency: "path to a failure domain", ID: probe.FailureDomain, Lost: !reachable, AwayMs: downMs,
 		})
@@ -54,7 +54,7 @@
 func anyReachable(ctx context.Context, clients []*upstream.Client) bool {
 	results := make(chan bool, len(clients))
 	for _, client := range clients {
-		go func(c *upstream.Client) { results <- c.Reach(ctx) }(client)
+		go func(c *upstream.Client) { results <- c.HostReachable(ctx) }(client)
 	}
 	for range clients {
 		if <-results {
--- a/internal/gateway/pause_detector.go
+++ b/internal/gateway/pause_detector.go
@@ -47,7 +47,7 @@
 		return
 	}
 	p.resumedMs.Store(int64(now))
-	p.box.peering.mesh.Resumed(pause)
+	p.box.peering.mesh.AddPause(pause)
 	p.box.clock.Resumed()
 }
 
@@ -85,7 +85,7 @@
 	if b.routingState.ConfirmedMs() < atMs {
 		return false
 	}
-	return !b.peering.mesh.IsSource() || b.sink.readSince(atMs)
+	return !b.peering.mesh.IsStoreReader() || b.sink.readSince(atMs)
 }
 
 // checkBeforeSend decides, right before a request is sent, whether it may still be sent. The process may have been
@@ -98,5 +98,5 @@
 	if r.RemainingMs(b.clock.Steady()) <= 0 {
 		return opaque.NewRefusal(opaque.NotRunStatus, opaque.TimeOver, 0, nil)
 	}
-	return b.steps.authorise.Vouch(r)
+	return b.steps.authorise.Recheck(r)
 }
--- a/internal/gateway/peering.go
+++ b/internal/gateway/peering.go
@@ -33,7 +33,7 @@
 	box     *Box
 	mesh    *mesh.Mesh
 	client  *relay.Client
-	answers chan mesh.Answer
+	peerStates chan mesh.PeerState
 	// startedMs is when this box joined the mesh.
 	startedMs clock.Millis
 }
@@ -47,7 +47,7 @@
 	}
 	p := &peering{
 		box: b, client: relay.NewClient(b.dial),
-		answers: make(chan mesh.Answer, answerQueueSize), startedMs: b.clock.Steady(),
+		peerStates: make(chan mesh.PeerState, answerQueueSize), startedMs: b.clock.Steady(),
 	}
 	p.mesh = mesh.New(mesh.Dependencies{
 		Self: mesh.Identity{
@@ -55,11 +55,11 @@
 			Incarnation: int64(b.clock.Now()),
 		},
 		Clock: b.clock, PeriodMs: timingOf(*settings).periodMs, Conn: conn,
-		Contacts: p.contacts, Knowledge: b.meshKnowledge, InFlight: b.balance.InFlight,
-		Running:   b.balance.Running,
+		Contacts: p.contacts, StateSummary: b.meshKnowledge, InFlight: b.balance.InFlight,
+		InFlightByPool:   b.balance.InFlightByPool,
 		AnnouncementsSince: b.balance.AnnouncementsSince, RecordAnnouncements: b.balance.RecordAnnouncements,
 		CrashEventsSince: b.quarantine.EventsSince, RecordCrashEvents: b.crashDetector.recordFromPeer,
-		Answered: p.enqueue, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		OnPeerState: p.enqueue, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	b.peering = p
 	b.metrics.Publish("mesh", func() any { return p.mesh.Sizes() })
@@ -83,10 +83,10 @@
 }
 
 // enqueue queues an answer. If the queue is full the answer is dropped, since a later one carries the same information.
-func (p *peering) enqueue(a mesh.Answer) {
-	p.box.balance.HeardFrom(a.From.FailureDomain)
+func (p *peering) enqueue(a mesh.PeerState) {
+	p.box.balance.RecordContact(a.From.FailureDomain)
 	select {
-	case p.answers <- a:
+	case p.peerStates <- a:
 	default:
 	}
 }
@@ -94,33 +94,33 @@
 func (p *peering) run(ctx context.Context) {
 	for {
 		select {
-		case a := <-p.answers:
-			p.applyAnswer(ctx, a)
+		case a := <-p.peerStates:
+			p.applyPeerState(ctx, a)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// applyAnswer fetches newer state from another box. A confirmation counts from the time at which this box asked for it.
-func (p *peering) applyAnswer(ctx context.Context, a mesh.Answer) {
+// applyPeerState fetches newer state from another box. A confirmation counts from the time at which this box asked for it.
+func (p *peering) applyPeerState(ctx context.Context, a mesh.PeerState) {
 	local := p.box.meshKnowledge()
 	if local.Position.IsZero() && p.inInitialRead() {
 		return
 	}
-	if !a.Knowledge.Position.IsZero() {
-		p.box.observeEra(max(a.Knowledge.Era, a.Knowledge.Position.Era), "box "+a.From.Box)
+	if !a.StateSummary.Position.IsZero() {
+		p.box.observeEra(max(a.StateSummary.Era, a.StateSummary.Position.Era), "box "+a.From.Box)
 	}
-	p.box.registry.Confirm(a.Knowledge.Position)
-	if a.Knowledge.Version > local.Version || local.Position.Before(a.Knowledge.Position) {
+	p.box.registry.Confirm(a.StateSummary.Position)
+	if a.StateSummary.Version > local.Version || local.Position.Before(a.StateSummary.Position) {
 		if err := p.fetch(ctx, a.From, local); err != nil {
 			p.box.log.Tell(decision.InputIgnored{Input: "news of box " + a.From.Box, Err: err.Error()})
 			return
 		}
 	}
-	if a.AskedMs > 0 && a.Knowledge.AgeMs >= 0 {
+	if a.PingedMs > 0 && a.StateSummary.AgeMs >= 0 {
 		p.box.routingState.Confirm(routing.Confirmation{
-			Version: a.Knowledge.Version, Era: a.Knowledge.Era, AtMs: a.AskedMs - a.Knowledge.AgeMs,
+			Version: a.StateSummary.Version, Era: a.StateSummary.Era, AtMs: a.PingedMs - a.StateSummary.AgeMs,
 		})
 	}
 }
@@ -134,7 +134,7 @@
 	return !p.box.storeLost.Load() && p.box.clock.Steady()-p.startedMs < initialReadMs
 }
 
-func (p *peering) fetch(ctx context.Context, from mesh.Identity, local mesh.Knowledge) error {
+func (p *peering) fetch(ctx context.Context, from mesh.Identity, local mesh.StateSummary) error {
 	reply, err := p.client.Fetch(ctx, from.Address, local.Version, local.Position)
 	if err != nil {
 		return err
@@ -158,11 +158,11 @@
 // needsStoreRead reports whether this box must read a stream of its store itself now. After a stream was read once,
 // the box first reads the other streams or receives them from other boxes.
 func (p *peering) needsStoreRead(wasRead bool) bool {
-	if !wasRead && (p.box.routingState.State() == nil || !p.box.registry.Filled()) {
+	if !wasRead && (p.box.routingState.State() == nil || !p.box.registry.Synced()) {
 		return true
 	}
 	if p.box.clock.Steady()-p.startedMs < startupSettleMs {
 		return false
 	}
-	return p.box.routingState.AgeMs() > p.directReadAgeMs() || p.mesh.IsSource()
+	return p.box.routingState.AgeMs() > p.directReadAgeMs() || p.mesh.IsStoreReader()
 }
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -12,12 +12,12 @@
 
 // Sink receives what a source of routing state reads. Durations and instants are those of the steady clock.
 type Sink struct {
-	// Wanted reports whether the source should read a stream now. It need not if other boxes read for this one.
-	Wanted func(stream string) bool
-	// ReadsForOthers reports whether other boxes depend on what the source reads.
-	ReadsForOthers func() bool
-	// Met reports the era of a response of the store.
-	Met func(era int64)
+	// ShouldRead reports whether the source should read a stream now. It need not if other boxes read for this one.
+	ShouldRead func(stream string) bool
+	// RelaysReads reports whether other boxes depend on what the source reads.
+	RelaysReads func() bool
+	// ObserveEra reports the era of a response of the store.
+	ObserveEra func(era int64)
 	// Adopt applies a routing state that was read in an era, if it is newer than the current one.
 	Adopt func(s *routing.State, era int64)
 	// Confirm reports that the state last passed to Adopt was still the newest at an instant, according to a response of
@@ -29,10 +29,10 @@
 	AllUpstreams func(all []registry.Change, at position.Position)
 	// Position returns the position of the newest known change of the upstreams.
 	Position func() position.Position
-	// Reached reports the result of a read of a stream; the error is nil if it succeeded.
-	Reached func(stream string, err error)
-	// Ignored reports an invalid input.
-	Ignored func(input string, err error)
+	// ReportRead reports the result of a read of a stream; the error is nil if it succeeded.
+	ReportRead func(stream string, err error)
+	// ReportInvalidInput reports an invalid input.
+	ReportInvalidInput func(input string, err error)
 }
 
 // recoveryGraceMs is how long after the recovery of a store entries may still expire only because it was unavailable:
@@ -60,9 +60,9 @@
 
 func (s *storeSink) asSink() Sink {
 	return Sink{
-		Wanted: s.wanted, ReadsForOthers: s.box.peering.mesh.IsSource, Met: s.met, Adopt: s.adopt, Confirm: s.confirm,
+		ShouldRead: s.shouldRead, RelaysReads: s.box.peering.mesh.IsStoreReader, ObserveEra: s.observeEra, Adopt: s.adopt, Confirm: s.confirm,
 		Upstreams: s.upstreams, AllUpstreams: s.allUpstreams,
-		Position: s.box.registry.Position, Reached: s.reached, Ignored: s.box.Ignored,
+		Position: s.box.registry.Position, ReportRead: s.reportRead, ReportInvalidInput: s.box.ReportInvalidInput,
 	}
 }
 
@@ -82,13 +82,13 @@
 // store so that it can read for others again. The interval is long because each refused read is charged for.
 const lostStoreRetryMs = 5 * clock.Second
 
-// wanted reports whether a stream is to be read. A box that does not read for others and has lost the store tries only
+// shouldRead reports whether a stream is to be read. A box that does not read for others and has lost the store tries only
 // one stream until the store is available again.
-func (s *storeSink) wanted(stream string) bool {
+func (s *storeSink) shouldRead(stream string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	needed := s.box.peering.needsStoreRead(s.lastReadMs[stream] > 0)
-	if needed && s.box.peering.mesh.IsSource() {
+	if needed && s.box.peering.mesh.IsStoreReader() {
 		return true
 	}
 	for lost := range s.lostSince {
@@ -101,7 +101,7 @@
 	return needed || lost && s.box.clock.Steady()-s.lastFailureMs >= lostStoreRetryMs
 }
 
-func (s *storeSink) met(era int64) { s.box.observeEra(era, s.source) }
+func (s *storeSink) observeEra(era int64) { s.box.observeEra(era, s.source) }
 
 func (s *storeSink) adopt(state *routing.State, era int64) {
 	s.mu.Lock()
@@ -121,14 +121,14 @@
 	span := s.removalGrace()
 	for i := range changes {
 		if !changes[i].Unusable {
-			changes[i].LapseMs = span
+			changes[i].GraceMs = span
 		}
 	}
 	s.box.announceUpstreams(s.box.registry.Apply(changes), s.source)
 }
 
 func (s *storeSink) allUpstreams(all []registry.Change, at position.Position) {
-	s.box.announceUpstreams(s.box.registry.Replace(all, at, s.removalGrace()), s.source)
+	s.box.announceUpstreams(s.box.registry.ApplySnapshot(all, at, s.removalGrace()), s.source)
 }
 
 // removalGrace returns how long an entry that disappears now may reappear before its upstream is removed. Entries of
@@ -147,8 +147,8 @@
 	return max(0, min(removalGraceMs, recoveredMs+recoveryGraceMs-s.box.clock.Steady()))
 }
 
-// reached records and logs the loss and the recovery of a stream of the store.
-func (s *storeSink) reached(stream string, err error) {
+// reportRead records and logs the loss and the recovery of a stream of the store.
+func (s *storeSink) reportRead(stream string, err error) {
 	now := s.box.clock.Steady()
 	s.mu.Lock()
 	if err != nil {
@@ -203,7 +203,7 @@
 // upstreamState returns the state after a change, as written to the log.
 func upstreamState(c registry.Change) string {
 	switch {
-	case c.Gone:
+	case c.Removed:
 		return "gone"
 	case c.Upstream.Draining:
 		return "draining"
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -52,10 +52,10 @@
 		receive:   receive.New(b.bodyMemory(), b.clock.Steady),
 		screen:    screen.New(b.quarantine.QuarantineRemainingMs),
 		dispatch: dispatch.New(dispatch.Dependencies{
-			Pick: b.pick, MayRetry: b.budgets.Take, FirstSend: b.budgets.First,
+			Pick: b.pick, MayRetry: b.budgets.Take, OnFirstSend: b.budgets.First,
 			AgeMs: b.routingState.AgeMs, Tell: b.log.Tell, OnPrefill: b.metrics.PromptTokensRead,
 			RetryAfter: b.balance.RetryAfterMs, OnSignals: b.handleSignals, Observe: b.crashDetector.observe,
-			OnCompleted: b.crashDetector.handleCompleted, QuarantineRemainingMs: b.quarantine.QuarantineRemainingMs, Vouch: b.checkBeforeSend, Clock: b.clock,
+			OnCompleted: b.crashDetector.handleCompleted, QuarantineRemainingMs: b.quarantine.QuarantineRemainingMs, CheckBeforeSend: b.checkBeforeSend, Clock: b.clock,
 		}),
 		record: record.New(b.log.Tell, b.metrics.RequestEnded, b.routingState.AgeMs, b.clock.Steady),
 	}
--- a/internal/gateway/store_era.go
+++ b/internal/gateway/store_era.go
@@ -8,7 +8,7 @@
 // observeEra processes the era of the store, as read from the store or reported by another box. A later era than the
 // last one means that the store was restored from an older snapshot.
 func (b *Box) observeEra(era int64, source string) {
-	before, restored := b.routingState.Meet(era)
+	before, restored := b.routingState.ObserveEra(era)
 	if !restored {
 		return
 	}
--- a/internal/gateway/store_test.go
+++ b/internal/gateway/store_test.go
@@ -134,7 +134,7 @@
 	return Source{Name: "store", Notes: s.notesFor(box), Run: func(ctx context.Context, sink Sink) {
 		nextMs := c.Steady()
 		check := func(clock.Millis) {
-			if c.Steady() >= nextMs && sink.Wanted("all") {
+			if c.Steady() >= nextMs && sink.ShouldRead("all") {
 				s.poll(ctx, box, c, sink)
 				nextMs = c.Steady() + pollMs
 			}
@@ -193,14 +193,14 @@
 		unavailable = true
 	}
 	if unavailable {
-		sink.Reached("all", errStoreUnavailable)
+		sink.ReportRead("all", errStoreUnavailable)
 		return
 	}
-	sink.Reached("all", nil)
+	sink.ReportRead("all", nil)
 	for i := range changes {
 		changes[i].Copied = true
 	}
-	sink.Met(at.Era)
+	sink.ObserveEra(at.Era)
 	sink.AllUpstreams(changes, at)
 	if state != nil {
 		sink.Adopt(state, at.Era)
@@ -213,7 +213,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range slices.Backward(s.changes) {
-		if c.Upstream.ID == id && !c.Gone {
+		if c.Upstream.ID == id && !c.Removed {
 			return c.Upstream
 		}
 	}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -61,12 +61,12 @@
 	readersPerDomain = 1
 )
 
-// Answer is the state of another box, observed at some instant between the ping and the reply.
-type Answer struct {
+// PeerState is the state of another box, observed at some instant between the ping and the reply.
+type PeerState struct {
 	From      Identity
-	Knowledge Knowledge
-	// AskedMs is when this box sent its ping, or 0 for an unsolicited update.
-	AskedMs clock.Millis
+	StateSummary StateSummary
+	// PingedMs is when this box sent its ping, or 0 for an unsolicited update.
+	PingedMs clock.Millis
 }
 
 // Mesh is this box's member of the gossip mesh. It is safe for concurrent use.
@@ -76,15 +76,15 @@
 	period           clock.Millis
 	conn             net.PacketConn
 	contacts         func() []string
-	knowledge        func() Knowledge
+	stateSummary        func() StateSummary
 	inFlight         func() map[namekey.Key]int
-	running          func() map[namekey.Key]int
+	inFlightByPool          func() map[namekey.Key]int
 	ledger           *occupancy.Ledger
 	announcementsSince      func(from int64, limit int) ([]prompt.CachedPart, int64)
 	recordAnnouncements func(list []prompt.CachedPart)
 	crashEventsSince          func(from int64, limit int) ([]quarantine.CrashEvent, int64)
 	recordCrashEvents     func(list []quarantine.CrashEvent)
-	onAnswer         func(a Answer)
+	onPeerState         func(a PeerState)
 	random           *rand.Rand
 
 	mu    sync.Mutex
@@ -113,13 +113,13 @@
 	Conn     net.PacketConn
 	// Contacts returns addresses to ping while few boxes are known.
 	Contacts func() []string
-	// Knowledge returns the current knowledge of this box.
-	Knowledge func() Knowledge
+	// StateSummary returns the current knowledge of this box.
+	StateSummary func() StateSummary
 	// InFlight returns this box's requests in flight, by upstream.
 	InFlight func() map[namekey.Key]int
-	// Running returns this box's requests in flight, by pool. Large fleets exchange it instead of
+	// InFlightByPool returns this box's requests in flight, by pool. Large fleets exchange it instead of
 	// InFlight.
-	Running func() map[namekey.Key]int
+	InFlightByPool func() map[namekey.Key]int
 	// AnnouncementsSince returns the prompt parts that this box's requests put into engine caches from a
 	// sequence number on, up to a limit, and the sequence number to continue from. LearnKept
 	// receives the parts that other boxes report.
@@ -129,18 +129,18 @@
 	// KeptSince does. LearnEndings receives the reports of other boxes.
 	CrashEventsSince func(from int64, limit int) ([]quarantine.CrashEvent, int64)
 	RecordCrashEvents func(list []quarantine.CrashEvent)
-	// Answered receives the knowledge of another box. It must not block.
-	Answered func(a Answer)
+	// OnPeerState receives the knowledge of another box. It must not block.
+	OnPeerState func(a PeerState)
 	Random   *rand.Rand
 }
 
 // New returns the mesh member of one box.
 func New(d Dependencies) *Mesh {
 	return &Mesh{
-		self: d.Self, clock: d.Clock, period: d.PeriodMs, conn: d.Conn, contacts: d.Contacts, knowledge: d.Knowledge,
-		inFlight: d.InFlight, running: d.Running, ledger: occupancy.New(d.Clock.Steady),
+		self: d.Self, clock: d.Clock, period: d.PeriodMs, conn: d.Conn, contacts: d.Contacts, stateSummary: d.StateSummary,
+		inFlight: d.InFlight, inFlightByPool: d.InFlightByPool, ledger: occupancy.New(d.Clock.Steady),
 		announcementsSince: d.AnnouncementsSince, recordAnnouncements: d.RecordAnnouncements,
-		crashEventsSince: d.CrashEventsSince, recordCrashEvents: d.RecordCrashEvents, onAnswer: d.Answered,
+		crashEventsSince: d.CrashEventsSince, recordCrashEvents: d.RecordCrashEvents, onPeerState: d.OnPeerState,
 		random: d.Random, peers: map[string]*peer{},
 		pendingPermits: permitRequests{nextNumber: d.Random.Uint32(), pending: map[uint32]chan bool{}},
 	}
@@ -197,11 +197,11 @@
 	}
 	switch p.Type {
 	case typePing:
-		m.send(from.String(), m.forReceiver(m.packet(typeReply, p.AskedMs), p.From.Box))
+		m.send(from.String(), m.forReceiver(m.packet(typeReply, p.PingedMs), p.From.Box))
 	case typeReply:
-		m.onAnswer(Answer{From: p.From, Knowledge: p.Knowledge, AskedMs: p.AskedMs})
+		m.onPeerState(PeerState{From: p.From, StateSummary: p.StateSummary, PingedMs: p.PingedMs})
 	case typeUpdate:
-		m.onAnswer(Answer{From: p.From, Knowledge: p.Knowledge})
+		m.onPeerState(PeerState{From: p.From, StateSummary: p.StateSummary})
 	}
 }
 
@@ -245,13 +245,13 @@
 }
 
 func (m *Mesh) packet(t packetType, askedMs clock.Millis) *packet {
-	p := &packet{Type: t, From: m.self, AskedMs: askedMs, Knowledge: m.knowledge(), InFlight: m.inFlight()}
+	p := &packet{Type: t, From: m.self, PingedMs: askedMs, StateSummary: m.stateSummary(), InFlight: m.inFlight()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p.Draining = m.draining
 	if m.largeLocked() {
 		// Each box is heard from only once in minutes, so loads by upstream would be outdated.
-		p.InFlight, p.Running = nil, m.running()
+		p.InFlight, p.InFlightByPool = nil, m.inFlightByPool()
 	}
 	return p
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -23,9 +23,9 @@
 type box struct {
 	*Mesh
 	mu        sync.Mutex
-	knowledge Knowledge
+	knowledge StateSummary
 	inFlight  map[namekey.Key]int
-	answers   []Answer
+	answers   []PeerState
 	kept      []prompt.CachedPart
 	received  []prompt.CachedPart
 	stop      context.CancelFunc
@@ -86,7 +86,7 @@
 	b.Mesh = New(Dependencies{
 		Self:     Identity{Box: name, FailureDomain: domain, Address: address, Incarnation: 1},
 		PeriodMs: 250, Clock: clock.New(), Conn: conn, Contacts: func() []string { return []string{"127.0.0.1:7000"} },
-		Knowledge: func() Knowledge {
+		StateSummary: func() StateSummary {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			return b.knowledge
@@ -96,14 +96,14 @@
 			defer b.mu.Unlock()
 			return maps.Clone(b.inFlight)
 		},
-		Running: b.runningByPool,
-		Answered: func(a Answer) {
+		InFlightByPool: b.runningByPool,
+		OnPeerState: func(a PeerState) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.answers = append(b.answers, a)
 		},
 		CrashEventsSince: b.ledger.EventsSince,
-		RecordCrashEvents: func(list []quarantine.CrashEvent) { b.ledger.RecordEvents(list, b.Large()) },
+		RecordCrashEvents: func(list []quarantine.CrashEvent) { b.ledger.RecordEvents(list, b.IsLarge()) },
 		AnnouncementsSince: func(from int64, limit int) ([]prompt.CachedPart, int64) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -146,7 +146,7 @@
 func (f *fixture) storeReaders() []string {
 	names := []string{}
 	for _, b := range f.boxes {
-		if b.IsSource() {
+		if b.IsStoreReader() {
 			names = append(names, b.self.Box)
 		}
 	}
@@ -206,11 +206,11 @@
 				asked[first.peers[target.box].FailureDomain] = true
 			}
 			assert.Equal(t, map[string]bool{"d1": true, "d2": true}, asked)
-			assert.Equal(t, clock.Millis(250), first.AskEach()["d2"])
+			assert.Equal(t, clock.Millis(250), first.DomainPingIntervals()["d2"])
 			f.boxes[40].stop()
 			advance(f.t, 8*time.Second)
-			assert.Zero(t, first.AskEach()["d2"])
-			assert.Zero(t, first.AskEach()["d0"], "it has no other box")
+			assert.Zero(t, first.DomainPingIntervals()["d2"])
+			assert.Zero(t, first.DomainPingIntervals()["d0"], "it has no other box")
 		})
 	})
 	t.Run("a leaving box stops reading the store for others", func(t *testing.T) {
@@ -221,7 +221,7 @@
 			}
 			advance(f.t, 2*time.Second)
 			for _, b := range f.boxes {
-				if b.IsSource() {
+				if b.IsStoreReader() {
 					b.BroadcastDraining()
 					break
 				}
@@ -237,13 +237,13 @@
 			two.setInFlight(loads{"u": 2})
 			three.setInFlight(loads{"u": 3, "v": 1})
 			advance(f.t, time.Second)
-			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.Others())
+			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.OthersInFlight())
 			three.BroadcastDraining()
 			advance(f.t, time.Second)
-			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.Others(), "a leaving box finishes its requests")
+			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.OthersInFlight(), "a leaving box finishes its requests")
 			three.stop()
 			advance(f.t, minAliveMs.Duration())
-			assert.Equal(t, loads{"u": 2}.keyed(), one.Others())
+			assert.Equal(t, loads{"u": 2}.keyed(), one.OthersInFlight())
 		})
 	})
 	t.Run("cached prompt parts are sent once to each other box", func(t *testing.T) {
@@ -271,7 +271,7 @@
 			t := f.t
 			one, two := f.start("d"), f.start("d")
 			two.mu.Lock()
-			two.knowledge = Knowledge{Version: 7, AgeMs: 40}
+			two.knowledge = StateSummary{Version: 7, AgeMs: 40}
 			two.mu.Unlock()
 			before := one.clock.Steady()
 			advance(f.t, time.Second)
@@ -279,15 +279,15 @@
 			defer one.mu.Unlock()
 			require.NotEmpty(t, one.answers)
 			last := one.answers[len(one.answers)-1]
-			assert.Equal(t, Knowledge{Version: 7, AgeMs: 40}, last.Knowledge)
-			assert.GreaterOrEqual(t, last.AskedMs, before)
-			assert.LessOrEqual(t, last.AskedMs, one.clock.Steady())
+			assert.Equal(t, StateSummary{Version: 7, AgeMs: 40}, last.StateSummary)
+			assert.GreaterOrEqual(t, last.PingedMs, before)
+			assert.LessOrEqual(t, last.PingedMs, one.clock.Steady())
 		})
 	})
 	t.Run("a reply from an unknown box is ignored", func(t *testing.T) {
 		runInBubble(t, func(f *fixture) {
 			one := f.start("d")
-			one.handle(&packet{Type: typeReply, From: Identity{Box: "unknown"}, AskedMs: 1}, nil)
+			one.handle(&packet{Type: typeReply, From: Identity{Box: "unknown"}, PingedMs: 1}, nil)
 			assert.Equal(t, Sizes{Boxes: 1, Ignored: 1, SendErrors: one.Sizes().SendErrors, SentBytes: one.Sizes().SentBytes}, one.Sizes())
 		})
 	})
@@ -349,7 +349,7 @@
 		require.NoError(t, err)
 	})
 	t.Run("decodes what it encodes", func(t *testing.T) {
-		p := packet{Type: typeReply, From: whole, AskedMs: 7, Knowledge: Knowledge{Version: 3, AgeMs: -1}, InFlight: loads{"u": 2}.keyed()}
+		p := packet{Type: typeReply, From: whole, PingedMs: 7, StateSummary: StateSummary{Version: 3, AgeMs: -1}, InFlight: loads{"u": 2}.keyed()}
 		data, err := p.encode()
 		require.NoError(t, err)
 		back, err := decode(data)
--- a/internal/mesh/packet.go
+++ b/internal/mesh/packet.go
@@ -30,8 +30,8 @@
 	Incarnation int64 `cbor:"4,keyasint"`
 }
 
-// Knowledge is the state of a box at one instant.
-type Knowledge struct {
+// StateSummary is the state of a box at one instant.
+type StateSummary struct {
 	// Version is the version of the active routing state, or 0 if there is none.
 	Version int64 `cbor:"1,keyasint" json:"version"`
 	// Position is the position of the newest change to the upstreams.
@@ -62,9 +62,9 @@
 type packet struct {
 	Type packetType `cbor:"1,keyasint"`
 	From Identity   `cbor:"2,keyasint"`
-	// AskedMs is the time of the ping on the sender's monotonic clock. The reply echoes it.
-	AskedMs   clock.Millis `cbor:"3,keyasint,omitempty"`
-	Knowledge Knowledge    `cbor:"4,keyasint"`
+	// PingedMs is the time of the ping on the sender's monotonic clock. The reply echoes it.
+	PingedMs   clock.Millis `cbor:"3,keyasint,omitempty"`
+	StateSummary StateSummary    `cbor:"4,keyasint"`
 	// InFlight is the sender's requests in flight, by upstream.
 	InFlight map[namekey.Key]int `cbor:"5,keyasint,omitempty"`
 	// Draining is set once the sender is about to stop.
@@ -80,9 +80,9 @@
 	CrashEventsNext int64               `cbor:"10,keyasint,omitempty"`
 	// CrashEventsAcked acknowledges the receiver's reports up to this sequence number.
 	CrashEventsAcked int64 `cbor:"11,keyasint,omitempty"`
-	// Running is the sender's requests in flight, by pool. A large fleet uses it instead of
+	// InFlightByPool is the sender's requests in flight, by pool. A large fleet uses it instead of
 	// InFlight.
-	Running map[namekey.Key]int `cbor:"12,keyasint,omitempty"`
+	InFlightByPool map[namekey.Key]int `cbor:"12,keyasint,omitempty"`
 }
 
 // maxPacketBytes is the size of the receive buffer. Datagrams are kept small enough not to be
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -16,9 +16,9 @@
 	lastSeenMs clock.Millis
 	// firstSeenMs is when this incarnation sent its first message, or 0 if it has sent none.
 	firstSeenMs clock.Millis
-	knowledge   Knowledge
+	stateSummary   StateSummary
 	inFlight    map[namekey.Key]int
-	running     map[namekey.Key]int
+	inFlightByPool     map[namekey.Key]int
 	draining     bool
 	// unacked is the number of pings sent since the box's last message.
 	unacked int
@@ -41,8 +41,8 @@
 		return
 	}
 	updated := &peer{
-		Identity: p.From, lastSeenMs: now, firstSeenMs: now, knowledge: p.Knowledge, inFlight: p.InFlight,
-		running: p.Running, draining: p.Draining,
+		Identity: p.From, lastSeenMs: now, firstSeenMs: now, stateSummary: p.StateSummary, inFlight: p.InFlight,
+		inFlightByPool: p.InFlightByPool, draining: p.Draining,
 	}
 	if known != nil && known.Incarnation == p.From.Incarnation && known.firstSeenMs > 0 {
 		updated.firstSeenMs, updated.sentAnnouncements = known.firstSeenMs, known.sentAnnouncements
@@ -117,10 +117,10 @@
 	return found
 }
 
-// AskEach returns the interval at which at least one box of a failure domain is pinged, by domain.
+// DomainPingIntervals returns the interval at which at least one box of a failure domain is pinged, by domain.
 // It omits domains without a live box. It is empty in a large fleet, whose rounds reach only a few
 // boxes.
-func (m *Mesh) AskEach() map[string]clock.Millis {
+func (m *Mesh) DomainPingIntervals() map[string]clock.Millis {
 	now := m.clock.Steady()
 	intervals := map[string]clock.Millis{}
 	m.mu.Lock()
@@ -228,9 +228,9 @@
 	return known
 }
 
-// Large reports whether the fleet is so large that each box exchanges messages with only a few
+// IsLarge reports whether the fleet is so large that each box exchanges messages with only a few
 // others.
-func (m *Mesh) Large() bool {
+func (m *Mesh) IsLarge() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.largeLocked()
@@ -239,8 +239,8 @@
 // largeLocked reports whether the fleet is so large that bandwidth is the limit.
 func (m *Mesh) largeLocked() bool { return m.directPeers > largeFleetBoxes }
 
-// Others returns the requests in flight of the other boxes, by upstream.
-func (m *Mesh) Others() map[namekey.Key]int {
+// OthersInFlight returns the requests in flight of the other boxes, by upstream.
+func (m *Mesh) OthersInFlight() map[namekey.Key]int {
 	now := m.clock.Steady()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -265,26 +265,26 @@
 	shortWindowMs clock.Millis = 1500
 )
 
-// Running returns the estimated requests in flight of the whole fleet, by pool, or nil unless the
+// FleetInFlightByPool returns the estimated requests in flight of the whole fleet, by pool, or nil unless the
 // fleet is large. It extrapolates recent reports and takes the larger of two averages, because a
 // bound that lags behind a surge rejects requests for engines that have capacity.
-func (m *Mesh) Running() map[namekey.Key]int {
-	own := m.running()
+func (m *Mesh) FleetInFlightByPool() map[namekey.Key]int {
+	own := m.inFlightByPool()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.largeLocked() {
 		return nil
 	}
-	all := m.runningLocked(own, longWindowMs)
-	for pool, count := range m.runningLocked(own, shortWindowMs) {
+	all := m.fleetInFlightByPoolLocked(own, longWindowMs)
+	for pool, count := range m.fleetInFlightByPoolLocked(own, shortWindowMs) {
 		all[pool] = max(all[pool], count)
 	}
 	return all
 }
 
-// runningLocked extrapolates from this box and those that reported within the window to all known
+// fleetInFlightByPoolLocked extrapolates from this box and those that reported within the window to all known
 // boxes.
-func (m *Mesh) runningLocked(own map[namekey.Key]int, window clock.Millis) map[namekey.Key]int {
+func (m *Mesh) fleetInFlightByPoolLocked(own map[namekey.Key]int, window clock.Millis) map[namekey.Key]int {
 	sums := maps.Clone(own)
 	now := m.clock.Steady()
 	reporting, boxes := 1, 1
@@ -296,7 +296,7 @@
 			continue
 		}
 		reporting++
-		for pool, count := range p.running {
+		for pool, count := range p.inFlightByPool {
 			sums[pool] += count
 		}
 	}
@@ -306,9 +306,9 @@
 	return sums
 }
 
-// OthersAgeMs returns the average age of the counts that Others returns. In a large fleet boxes
+// OthersInFlightAgeMs returns the average age of the counts that Others returns. In a large fleet boxes
 // don't exchange loads by upstream, so it returns the maximum age.
-func (m *Mesh) OthersAgeMs() clock.Millis {
+func (m *Mesh) OthersInFlightAgeMs() clock.Millis {
 	now := m.clock.Steady()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -326,9 +326,9 @@
 	return sum / max(1, count)
 }
 
-// Resumed must be called after this process was paused. It extends the liveness deadlines of the
+// AddPause must be called after this process was paused. It extends the liveness deadlines of the
 // other boxes, because their silence during the pause says nothing about them.
-func (m *Mesh) Resumed(pause clock.Millis) {
+func (m *Mesh) AddPause(pause clock.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
@@ -336,8 +336,8 @@
 	}
 }
 
-// Missing reports whether a recently live box is silent without having announced that it leaves.
-func (m *Mesh) Missing() bool {
+// HasMissingBox reports whether a recently live box is silent without having announced that it leaves.
+func (m *Mesh) HasMissingBox() bool {
 	now := m.clock.Steady()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -357,9 +357,9 @@
 	return 1 + m.aliveCountLocked(m.clock.Steady())
 }
 
-// IsSource reports whether this box, according to its own view, reads the store on behalf of its
+// IsStoreReader reports whether this box, according to its own view, reads the store on behalf of its
 // failure domain.
-func (m *Mesh) IsSource() bool {
+func (m *Mesh) IsStoreReader() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, reader := range m.storeReadersLocked(m.clock.Steady()) {
@@ -383,7 +383,7 @@
 // live boxes.
 func (m *Mesh) storeReadersLocked(now clock.Millis) []Identity {
 	all, reachable := []Identity{m.self}, []Identity{}
-	if !m.knowledge().StoreLost {
+	if !m.stateSummary().StoreLost {
 		reachable = append(reachable, m.self)
 	}
 	aliveTimeout := m.aliveTimeoutLocked()
@@ -392,7 +392,7 @@
 			continue
 		}
 		all = append(all, p.Identity)
-		if !p.knowledge.StoreLost {
+		if !p.stateSummary.StoreLost {
 			reachable = append(reachable, p.Identity)
 		}
 	}
--- a/internal/mesh/slots_test.go
+++ b/internal/mesh/slots_test.go
@@ -88,7 +88,7 @@
 		assert.Nil(t, release)
 		sum := 0
 		for _, b := range f.boxes {
-			sum += b.Running()[namekey.Of("p")]
+			sum += b.FleetInFlightByPool()[namekey.Of("p")]
 		}
 		assert.InEpsilon(t, f.running(), sum/len(f.boxes), 0.25, "the boxes' average estimate of all requests in flight")
 
@@ -117,7 +117,7 @@
 		f.start("d")
 		f.start("d")
 		advance(f.t, 3*time.Second)
-		assert.Nil(f.t, f.boxes[0].Running(), "a small fleet exchanges loads by upstream")
+		assert.Nil(f.t, f.boxes[0].FleetInFlightByPool(), "a small fleet exchanges loads by upstream")
 	})
 }
 
--- a/internal/mesh/store_readers_test.go
+++ b/internal/mesh/store_readers_test.go
@@ -17,7 +17,7 @@
 		readers := func() []*box {
 			list := []*box{}
 			for _, b := range f.boxes {
-				if b.self.FailureDomain == "d1" && b.IsSource() {
+				if b.self.FailureDomain == "d1" && b.IsStoreReader() {
 					list = append(list, b)
 				}
 			}
--- a/internal/pipe/authorise/authorise.go
+++ b/internal/pipe/authorise/authorise.go
@@ -31,8 +31,8 @@
 // String returns the name of the step in logs.
 func (*Pipe) String() string { return "authorise" }
 
-// Vouch refuses a request that needs a key while the routing state is too old to trust its keys.
-func (p *Pipe) Vouch(r *opaque.Request) error {
+// Recheck refuses a request that needs a key while the routing state is too old to trust its keys.
+func (p *Pipe) Recheck(r *opaque.Request) error {
 	if r.Route.Public || !r.State.Keyed() {
 		return nil
 	}
@@ -47,7 +47,7 @@
 	if r.Route.Public || !r.State.Keyed() {
 		return nil
 	}
-	if err := p.Vouch(r); err != nil {
+	if err := p.Recheck(r); err != nil {
 		return err
 	}
 	r.Organisation = r.State.Organisation(r.Dialect.Key(r.HTTP.Header))
--- a/internal/pipe/dispatch/attempt.go
+++ b/internal/pipe/dispatch/attempt.go
@@ -52,7 +52,7 @@
 	s.request.Sent++
 	s.handleSignals(lease, resp)
 	if resp.StatusCode < http.StatusInternalServerError && s.signals.BackoffMs == 0 {
-		lease.Answered()
+		lease.RecordResponseStart()
 	}
 	failed := s.relay(lease, resp, cancel)
 	switch {
@@ -67,7 +67,7 @@
 
 // handleSignals decodes and reports the signals in the response headers. It ignores those of a
 // misdirected request: they describe the upstream that now has the address, not the selected one.
-func (s *retryLoop) handleSignals(lease *balance.Lease, resp *upstream.Answer) {
+func (s *retryLoop) handleSignals(lease *balance.Lease, resp *upstream.Response) {
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
@@ -94,7 +94,7 @@
 func (s *retryLoop) cancelOnPathLoss(lease *balance.Lease, cancel context.CancelCauseFunc) {
 	r := s.request
 	if r.Route.Repeatable() && r.Sent+1 < r.Route.Attempts {
-		lease.OnCut(func() { cancel(errPathDown) })
+		lease.OnPartition(func() { cancel(errPathDown) })
 	}
 }
 
@@ -174,8 +174,8 @@
 	}
 	return &upstream.Request{
 		Method: r.HTTP.Method, Target: r.HTTP.RequestURI, Host: r.HTTP.Host, Header: header, Body: r.Body,
-		MaySend: lease.MaySend,
-		Mine:    func(resp http.Header) bool { return resp.Get(d.RequestID) == r.ID },
+		BeforeSend: lease.CheckBeforeSend,
+		Matches:    func(resp http.Header) bool { return resp.Get(d.RequestID) == r.ID },
 	}
 }
 
@@ -183,7 +183,7 @@
 const maxUrgency = 9
 
 // relay relays a response whose headers have arrived.
-func (s *retryLoop) relay(lease *balance.Lease, resp *upstream.Answer, cancel context.CancelCauseFunc) *failure {
+func (s *retryLoop) relay(lease *balance.Lease, resp *upstream.Response, cancel context.CancelCauseFunc) *failure {
 	if resp.StatusCode == http.StatusOK && isEventStream(resp.Header) {
 		return s.relayStream(lease, resp, cancel)
 	}
--- a/internal/pipe/dispatch/buffered.go
+++ b/internal/pipe/dispatch/buffered.go
@@ -27,7 +27,7 @@
 
 // relayBuffered reads a complete response and sends it to the caller, unless it is a failure after
 // which the request may be retried.
-func (s *retryLoop) relayBuffered(resp *upstream.Answer) *failure {
+func (s *retryLoop) relayBuffered(resp *upstream.Response) *failure {
 	r := s.request
 	body, err := io.ReadAll(io.LimitReader(resp, maxResponseBytes+1))
 	if err == nil && len(body) > maxResponseBytes {
--- a/internal/pipe/dispatch/dispatch.go
+++ b/internal/pipe/dispatch/dispatch.go
@@ -21,8 +21,8 @@
 	Pick func(ctx context.Context, a balance.Ask) (*balance.Lease, error)
 	// MayRetry takes one retry from the retry budget of a pool and reports whether there was one.
 	MayRetry func(pool string) bool
-	// FirstSend counts the first attempt of a request in the retry budget of a pool.
-	FirstSend func(pool string)
+	// OnFirstSend counts the first attempt of a request in the retry budget of a pool.
+	OnFirstSend func(pool string)
 	// AgeMs returns the time since the routing state was last confirmed to be the newest, for logs.
 	AgeMs func() clock.Millis
 	// Tell logs an event.
@@ -39,8 +39,8 @@
 	OnCompleted func(fingerprint quarantine.Fingerprint)
 	// QuarantineRemainingMs returns the remaining quarantine time of a fingerprint, or 0.
 	QuarantineRemainingMs func(fingerprint quarantine.Fingerprint) clock.Millis
-	// Vouch returns an error if the box may not send the request now.
-	Vouch func(r *opaque.Request) error
+	// CheckBeforeSend returns an error if the box may not send the request now.
+	CheckBeforeSend func(r *opaque.Request) error
 	Clock clock.Clock
 }
 
@@ -59,10 +59,10 @@
 func (p *Pipe) Run(r *opaque.Request) error {
 	ctx, cancel := p.deps.Clock.WithTimeout(r.Context(), max(1, r.RemainingMs(p.deps.Clock.Steady())))
 	defer cancel()
-	p.deps.FirstSend(r.Pool)
+	p.deps.OnFirstSend(r.Pool)
 	s := &retryLoop{pipe: p, request: r, ctx: ctx}
 	for {
-		if err := p.deps.Vouch(r); err != nil {
+		if err := p.deps.CheckBeforeSend(r); err != nil {
 			return s.refuseSend(err)
 		}
 		lease, err := p.deps.Pick(ctx, s.pickRequest())
--- a/internal/pipe/dispatch/stream.go
+++ b/internal/pipe/dispatch/stream.go
@@ -58,7 +58,7 @@
 }
 
 // relayStream relays events as they arrive.
-func (s *retryLoop) relayStream(lease *balance.Lease, resp *upstream.Answer, cancel context.CancelCauseFunc) *failure {
+func (s *retryLoop) relayStream(lease *balance.Lease, resp *upstream.Response, cancel context.CancelCauseFunc) *failure {
 	if s.stream == nil {
 		s.startStream(resp)
 	}
@@ -69,7 +69,7 @@
 		n, err := resp.Read(buffer)
 		event()
 		if n > 0 {
-			lease.Heard()
+			lease.RecordContact()
 		}
 		if writeErr := s.stream.write(buffer[:n]); writeErr != nil {
 			return &failure{err: writeErr, execution: mayHaveRun}
@@ -87,7 +87,7 @@
 
 // startStream sends the response headers to the caller. They come from the first upstream and stay
 // the same after a resume.
-func (s *retryLoop) startStream(resp *upstream.Answer) {
+func (s *retryLoop) startStream(resp *upstream.Response) {
 	r := s.request
 	s.stream = &stream{request: r, completeOnly: r.Route.Resumable}
 	setResponseHeader(r.Writer.Header(), r.Dialect.Returned(resp.Header))
--- a/internal/registry/histories_test.go
+++ b/internal/registry/histories_test.go
@@ -160,7 +160,7 @@
 		}
 	}
 	b.at = position.At(h.log.era, int64(len(h.log.records)))
-	b.Replace(all, b.at, reappearMs)
+	b.ApplySnapshot(all, b.at, reappearMs)
 	b.filled = true
 }
 
@@ -168,7 +168,7 @@
 func (h *history) relay(from, to *modelBox) {
 	if to.Position().Before(from.Position()) {
 		to.Merge(from.Since(to.Position()))
-		to.filled = to.filled || to.Filled()
+		to.filled = to.filled || to.Synced()
 	}
 }
 
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -52,7 +52,7 @@
 	t.Run("an older incarnation in a complete list is ignored", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{started("a", 200, 1)})
-		f.Replace([]Change{started("a", 100, 2)}, position.At(0, 3), 0)
+		f.ApplySnapshot([]Change{started("a", 100, 2)}, position.At(0, 3), 0)
 		assertStarted(t, f, 200)
 	})
 	t.Run("draining of the old incarnation does not apply to the new one", func(t *testing.T) {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -49,8 +49,8 @@
 // Change is a change to one upstream, as reported by a source.
 type Change struct {
 	Upstream Upstream `json:"upstream"`
-	// Gone is set when the upstream's entry was removed. Only the ID is used in this case.
-	Gone bool `json:"gone,omitempty"`
+	// Removed is set when the upstream's entry was removed. Only the ID is used in this case.
+	Removed bool `json:"gone,omitempty"`
 	// Unusable is set together with Gone when an entry exists but does not describe a usable
 	// upstream. Such an upstream does not reappear when the store that holds the entry
 	// recovers.
@@ -64,10 +64,10 @@
 	// Copied is set when the record may be older than the era of its position, because it was
 	// read as part of a snapshot rather than when it was written.
 	Copied bool `json:"copied,omitempty"`
-	// LapseMs is the grace period in which a removed entry may reappear. Entries expire while
+	// GraceMs is the grace period in which a removed entry may reappear. Entries expire while
 	// the store that holds them is unavailable, although their upstreams are alive. Zero
 	// removes the entry at once.
-	LapseMs clock.Millis `json:"lapse_ms,omitempty"`
+	GraceMs clock.Millis `json:"lapse_ms,omitempty"`
 }
 
 // entry is an upstream together with the state of its store entry.
@@ -97,8 +97,8 @@
 	mu      sync.Mutex
 	entries map[string]entry
 	journal journal
-	// filled is set once a complete list of the upstreams has been applied.
-	filled bool
+	// synced is set once a complete list of the upstreams has been applied.
+	synced bool
 	// upToDateMs is when this box last applied newer changes, or learned that there are none
 	// after its position.
 	upToDateMs clock.Millis
@@ -148,7 +148,7 @@
 	case known && old.supersedes(c):
 		r.entries[id] = old.afterStaleRecord(c, r.steady())
 		return false
-	case !c.Gone:
+	case !c.Removed:
 		next.upstream, next.sequence = c.Upstream, c.Sequence
 	case !known || old.tombstone:
 		next.tombstone = true
@@ -156,10 +156,10 @@
 		// rejected as outdated.
 		r.entries[id] = next
 		return true
-	case c.LapseMs == 0 || old.upstream.Draining:
+	case c.GraceMs == 0 || old.upstream.Draining:
 		next.tombstone, next.unusable = true, c.Unusable
 	default:
-		next.upstream, next.removeAtMs = old.upstream, r.steady()+c.LapseMs
+		next.upstream, next.removeAtMs = old.upstream, r.steady()+c.GraceMs
 	}
 	r.entries[id] = next
 	return true
@@ -171,9 +171,9 @@
 	return u.StartedMs > 0 && u.StartedMs < newestMs
 }
 
-// Replace applies a complete list of the upstreams at a position, and returns the changes that
+// ApplySnapshot applies a complete list of the upstreams at a position, and returns the changes that
 // were new. Upstreams missing from the list are removed, but may reappear within graceMs.
-func (r *Registry) Replace(all []Change, at position.Position, graceMs clock.Millis) []Change {
+func (r *Registry) ApplySnapshot(all []Change, at position.Position, graceMs clock.Millis) []Change {
 	r.mu.Lock()
 	if at.Era < r.journal.position.Era {
 		r.mu.Unlock()
@@ -186,7 +186,7 @@
 	applied := r.Apply(all)
 	r.mu.Lock()
 	r.journal.skipTo(at)
-	r.filled = true
+	r.synced = true
 	r.mu.Unlock()
 	return applied
 }
@@ -207,7 +207,7 @@
 			e.position = at
 			r.entries[id] = e
 		default:
-			removed = append(removed, Change{Upstream: Upstream{ID: id}, Gone: true, Position: at, LapseMs: graceMs})
+			removed = append(removed, Change{Upstream: Upstream{ID: id}, Removed: true, Position: at, GraceMs: graceMs})
 		}
 	}
 	return removed
@@ -222,11 +222,11 @@
 	}
 }
 
-// Filled reports whether a complete list of the upstreams has been applied, even an empty one.
-func (r *Registry) Filled() bool {
+// Synced reports whether a complete list of the upstreams has been applied, even an empty one.
+func (r *Registry) Synced() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.filled
+	return r.synced
 }
 
 // Expire removes entries whose grace period has ended, and restores upstreams that the store
@@ -297,8 +297,8 @@
 type Update struct {
 	// Position is the newest position that the update covers.
 	Position position.Position `json:"position"`
-	// Whole is set when Changes is the complete list of upstreams.
-	Whole   bool     `json:"whole,omitempty"`
+	// Complete is set when Changes is the complete list of upstreams.
+	Complete   bool     `json:"whole,omitempty"`
 	Changes []Change `json:"changes,omitempty"`
 }
 
@@ -310,7 +310,7 @@
 	if changes, ok := r.journal.since(after); ok {
 		return Update{Position: r.journal.position, Changes: changes}
 	}
-	u := Update{Position: r.journal.position, Whole: true}
+	u := Update{Position: r.journal.position, Complete: true}
 	for _, e := range r.entries {
 		if !e.tombstone {
 			u.Changes = append(u.Changes, e.change(r.steady()))
@@ -325,7 +325,7 @@
 	if e.removeAtMs > 0 {
 		// The removal applies to every incarnation of the server.
 		c.Upstream = Upstream{ID: e.upstream.ID}
-		c.Gone, c.LapseMs = true, max(1, e.removeAtMs-now)
+		c.Removed, c.GraceMs = true, max(1, e.removeAtMs-now)
 	}
 	return c
 }
@@ -337,10 +337,10 @@
 // Merge applies another box's update and returns the changes that were new.
 func (r *Registry) Merge(u Update) []Change {
 	for i := range u.Changes {
-		u.Changes[i].LapseMs = min(u.Changes[i].LapseMs, maxRelayedGraceMs)
+		u.Changes[i].GraceMs = min(u.Changes[i].GraceMs, maxRelayedGraceMs)
 	}
-	if u.Whole || !u.Position.IsZero() && r.Position().IsZero() {
-		return r.Replace(u.Changes, u.Position, r.relayedGraceMs(u.Position))
+	if u.Complete || !u.Position.IsZero() && r.Position().IsZero() {
+		return r.ApplySnapshot(u.Changes, u.Position, r.relayedGraceMs(u.Position))
 	}
 	return r.Apply(u.Changes)
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -25,7 +25,7 @@
 }
 
 func removal(id string, revision int64, grace clock.Millis) Change {
-	return Change{Upstream: Upstream{ID: id}, Gone: true, Position: position.At(0, revision), LapseMs: grace}
+	return Change{Upstream: Upstream{ID: id}, Removed: true, Position: position.At(0, revision), GraceMs: grace}
 }
 
 func assertIDs(t *testing.T, r *Registry, want ...string) {
@@ -72,14 +72,14 @@
 	t.Run("an upstream missing from the list is removed", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{put("a", 1), put("b", 2)})
-		f.Replace([]Change{put("b", 2), put("c", 3)}, position.At(0, 9), 0)
+		f.ApplySnapshot([]Change{put("b", 2), put("c", 3)}, position.At(0, 9), 0)
 		assertIDs(t, f.Registry, "b", "c")
 		assert.Equal(t, position.At(0, 9), f.Position())
 	})
 	t.Run("an upstream newer than the list is kept", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{put("a", 12)})
-		f.Replace([]Change{put("b", 2)}, position.At(0, 9), 0)
+		f.ApplySnapshot([]Change{put("b", 2)}, position.At(0, 9), 0)
 		assertIDs(t, f.Registry, "a", "b")
 	})
 }
@@ -91,7 +91,7 @@
 		to.Merge(from.Since(position.Position{}))
 		from.Apply([]Change{removal("a", 3, 0)})
 		update := from.Since(to.Position())
-		assert.False(t, update.Whole)
+		assert.False(t, update.Complete)
 		assert.Len(t, update.Changes, 1)
 		to.Merge(update)
 		assertIDs(t, to.Registry, "b")
@@ -99,10 +99,10 @@
 	})
 	t.Run("returns a complete list when the journal starts later", func(t *testing.T) {
 		from, to := newFixture(), newFixture()
-		from.Replace([]Change{put("a", 4)}, position.At(0, 7), 0)
+		from.ApplySnapshot([]Change{put("a", 4)}, position.At(0, 7), 0)
 		to.Apply([]Change{put("old", 1)})
 		update := from.Since(to.Position())
-		assert.True(t, update.Whole)
+		assert.True(t, update.Complete)
 		to.Merge(update)
 		assertIDs(t, to.Registry, "a")
 	})
@@ -111,7 +111,7 @@
 		for i := range int64(4 * minJournalLength) {
 			from.Apply([]Change{put("a", i+1)})
 		}
-		assert.True(t, from.Since(position.At(0, 1)).Whole)
+		assert.True(t, from.Since(position.At(0, 1)).Complete)
 		to.Merge(from.Since(position.At(0, 1)))
 		assertIDs(t, to.Registry, "a")
 	})
--- a/internal/registry/restored.go
+++ b/internal/registry/restored.go
@@ -31,7 +31,7 @@
 // replaced by another writer never takes precedence, because the upstream did not end that
 // entry itself.
 func (e entry) supersedes(c Change) bool {
-	if c.Gone || !c.Copied || e.position.Era == c.Position.Era || c.Upstream.StartedMs != e.startedMs || e.unusable {
+	if c.Removed || !c.Copied || e.position.Era == c.Position.Era || c.Upstream.StartedMs != e.startedMs || e.unusable {
 		return false
 	}
 	return c.Sequence < e.sequence || c.Sequence == e.sequence && (e.tombstone || e.upstream.Draining)
@@ -57,7 +57,7 @@
 	}
 	for i := range all {
 		if all[i].Unusable {
-			all[i].LapseMs = graceMs
+			all[i].GraceMs = graceMs
 		}
 	}
 	return all
--- a/internal/registry/restored_test.go
+++ b/internal/registry/restored_test.go
@@ -37,7 +37,7 @@
 }
 
 func removalAt(id string, era, offset int64) Change {
-	return Change{Upstream: Upstream{ID: id}, Gone: true, Position: position.At(era, offset)}
+	return Change{Upstream: Upstream{ID: id}, Removed: true, Position: position.At(era, offset)}
 }
 
 const reappearMs clock.Millis = 1700
@@ -59,26 +59,26 @@
 	t.Run("an older record does not undo draining", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{shuttingDown.at(1, 9)})
-		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
+		f.ApplySnapshot([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		assertDraining(t, f, "a", true)
 	})
 	t.Run("a newer record undoes draining", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{shuttingDown.at(1, 9)})
-		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
+		f.ApplySnapshot([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		f.Apply([]Change{{Upstream: ready.at(0, 0).Upstream, Position: position.At(2, 6), Sequence: 9}})
 		assertDraining(t, f, "a", false)
 	})
 	t.Run("a newer record in the copy is accepted", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{ready.at(1, 9)})
-		f.Replace([]Change{shuttingDown.copied(2, 4)}, position.At(2, 5), reappearMs)
+		f.ApplySnapshot([]Change{shuttingDown.copied(2, 4)}, position.At(2, 5), reappearMs)
 		assertDraining(t, f, "a", true)
 	})
 	t.Run("an older record does not bring back a removed upstream", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{ready.at(1, 4), removalAt("a", 1, 9)})
-		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
+		f.ApplySnapshot([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		assertIDs(t, f.Registry)
 		f.Apply([]Change{removalAt("a", 2, 6)})
 		f.now += staleRecordMs
@@ -88,7 +88,7 @@
 	t.Run("a removed upstream is restored if the store keeps listing it", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{ready.at(1, 4), removalAt("a", 1, 9)})
-		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
+		f.ApplySnapshot([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		f.now += staleRecordMs
 		f.Expire()
 		assertIDs(t, f.Registry)
@@ -99,7 +99,7 @@
 	t.Run("an upstream missing from the copy may reappear within the grace period", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{ready.at(1, 9), record{id: "b"}.at(1, 10)})
-		f.Replace(nil, position.At(2, 5), reappearMs)
+		f.ApplySnapshot(nil, position.At(2, 5), reappearMs)
 		assertIDs(t, f.Registry, "a", "b")
 		f.Apply([]Change{ready.at(2, 6)})
 		f.now += reappearMs
@@ -109,7 +109,7 @@
 	t.Run("an older incarnation in the copy does not keep an upstream", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{record{id: "a", started: 200}.at(1, 9)})
-		f.Replace([]Change{ready.copied(2, 5)}, position.At(2, 5), reappearMs)
+		f.ApplySnapshot([]Change{ready.copied(2, 5)}, position.At(2, 5), reappearMs)
 		assertIDs(t, f.Registry, "a")
 		f.now += reappearMs
 		f.Expire()
@@ -120,7 +120,7 @@
 		f.Apply([]Change{ready.at(1, 9)})
 		foreign := removalAt("a", 2, 4)
 		foreign.Unusable, foreign.Copied = true, true
-		f.Replace([]Change{foreign}, position.At(2, 5), reappearMs)
+		f.ApplySnapshot([]Change{foreign}, position.At(2, 5), reappearMs)
 		assertIDs(t, f.Registry, "a")
 		f.now += reappearMs
 		f.Expire()
@@ -131,14 +131,14 @@
 		foreign := removalAt("a", 1, 9)
 		foreign.Unusable = true
 		f.Apply([]Change{ready.at(1, 4), foreign})
-		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
+		f.ApplySnapshot([]Change{ready.copied(2, 4)}, position.At(2, 5), reappearMs)
 		assertIDs(t, f.Registry, "a")
 	})
 	t.Run("a late change of an earlier era is ignored", func(t *testing.T) {
 		f := newFixture()
-		f.Replace([]Change{ready.copied(2, 4)}, position.At(2, 5), 0)
+		f.ApplySnapshot([]Change{ready.copied(2, 4)}, position.At(2, 5), 0)
 		assert.Empty(t, f.Apply([]Change{removalAt("a", 1, 99)}))
-		assert.Empty(t, f.Replace(nil, position.At(1, 99), 0))
+		assert.Empty(t, f.ApplySnapshot(nil, position.At(1, 99), 0))
 		assertIDs(t, f.Registry, "a")
 	})
 }
@@ -149,15 +149,15 @@
 	// first one in the next.
 	source := func() *fixture {
 		f := newFixture()
-		f.Replace([]Change{one.copied(1, 1), two.copied(1, 2)}, position.At(1, 2), 0)
-		f.Replace([]Change{record{id: "a", sequence: 5, draining: true}.copied(2, 1)}, position.At(2, 1), reappearMs)
+		f.ApplySnapshot([]Change{one.copied(1, 1), two.copied(1, 2)}, position.At(1, 2), 0)
+		f.ApplySnapshot([]Change{record{id: "a", sequence: 5, draining: true}.copied(2, 1)}, position.At(2, 1), reappearMs)
 		return f
 	}
 	t.Run("a box of the previous era gets a complete list with a grace period for missing upstreams", func(t *testing.T) {
 		from, to := source(), newFixture()
-		to.Replace([]Change{one.copied(1, 1), two.copied(1, 2)}, position.At(1, 2), 0)
+		to.ApplySnapshot([]Change{one.copied(1, 1), two.copied(1, 2)}, position.At(1, 2), 0)
 		update := from.Since(to.Position())
-		assert.True(t, update.Whole)
+		assert.True(t, update.Complete)
 		to.Merge(update)
 		assertDraining(t, to, "a", true)
 		assertIDs(t, to.Registry, "a", "b")
@@ -170,7 +170,7 @@
 		from, to := source(), newFixture()
 		to.Apply([]Change{one.at(1, 1), two.at(1, 2), record{id: "c"}.at(1, 3)})
 		update := from.Since(to.Position())
-		assert.True(t, update.Whole)
+		assert.True(t, update.Complete)
 		to.Merge(update)
 		to.now += reappearMs
 		to.Expire()
@@ -178,8 +178,8 @@
 	})
 	t.Run("a starting box does not get upstreams that the store lacks", func(t *testing.T) {
 		from, to := newFixture(), newFixture()
-		from.Replace([]Change{one.copied(1, 1), two.copied(1, 2)}, position.At(1, 2), 0)
-		from.Merge(Update{Position: position.At(2, 4), Whole: true, Changes: []Change{record{id: "c"}.at(2, 4)}})
+		from.ApplySnapshot([]Change{one.copied(1, 1), two.copied(1, 2)}, position.At(1, 2), 0)
+		from.Merge(Update{Position: position.At(2, 4), Complete: true, Changes: []Change{record{id: "c"}.at(2, 4)}})
 		to.Merge(from.Since(position.Position{}))
 		assertIDs(t, to.Registry, "c")
 		assertIDs(t, from.Registry, "a", "b", "c")
@@ -187,9 +187,9 @@
 	t.Run("a box that received a draining record rejects the older record of the copy", func(t *testing.T) {
 		from, to := newFixture(), newFixture()
 		from.Apply([]Change{record{id: "a", sequence: 5, draining: true}.at(1, 9)})
-		from.Replace([]Change{one.copied(2, 1)}, position.At(2, 1), 0)
+		from.ApplySnapshot([]Change{one.copied(2, 1)}, position.At(2, 1), 0)
 		to.Merge(from.Since(position.Position{}))
-		to.Replace([]Change{one.copied(2, 1), record{id: "c"}.copied(2, 4)}, position.At(2, 4), 0)
+		to.ApplySnapshot([]Change{one.copied(2, 1), record{id: "c"}.copied(2, 4)}, position.At(2, 4), 0)
 		assertDraining(t, to, "a", true)
 	})
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -52,7 +52,7 @@
 var errBusy = apierror.New(http.StatusServiceUnavailable, "busy", "too many long replies at once")
 
 // Handler serves the routing state and the upstreams to other boxes.
-func Handler(belief *routing.Belief, upstreams *registry.Registry) http.Handler {
+func Handler(belief *routing.StateTracker, upstreams *registry.Registry) http.Handler {
 	mux := http.NewServeMux()
 	cache := &replyCache{}
 	longReplies := make(chan struct{}, maxLongReplies)
@@ -96,7 +96,7 @@
 	return after, err
 }
 
-func reply(belief *routing.Belief, upstreams *registry.Registry, version int64, after position.Position) Reply {
+func reply(belief *routing.StateTracker, upstreams *registry.Registry, version int64, after position.Position) Reply {
 	out := Reply{Upstreams: upstreams.Since(after)}
 	if state := belief.State(); state != nil {
 		out.Version, out.Era = state.Version(), belief.StateEra()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -19,11 +19,11 @@
 func steady() clock.Millis { return 1000 }
 
 // newState returns a routing state and a registry with a number of upstreams.
-func newState(t *testing.T, upstreams int) (*routing.Belief, *registry.Registry) {
+func newState(t *testing.T, upstreams int) (*routing.StateTracker, *registry.Registry) {
 	t.Helper()
 	state, err := routing.New(routing.Content{Version: 7})
 	require.NoError(t, err)
-	belief, r := routing.NewBelief(steady), registry.New(steady)
+	belief, r := routing.NewStateTracker(steady), registry.New(steady)
 	belief.Adopt(state, 0)
 	for i := range upstreams {
 		r.Apply([]registry.Change{{Upstream: registry.Upstream{ID: fmt.Sprint("u", i)}, Position: position.At(0, int64(i+1))}})
--- a/internal/routing/belief.go
+++ b/internal/routing/belief.go
@@ -21,9 +21,9 @@
 	AtMs clock.Millis
 }
 
-// Belief holds a box's current routing state, and the time at which it was last confirmed to
+// StateTracker holds a box's current routing state, and the time at which it was last confirmed to
 // be the newest. Readers never block.
-type Belief struct {
+type StateTracker struct {
 	steady  func() clock.Millis
 	adopted atomic.Pointer[adopted]
 	// confirmed is the newest confirmation that the current state was the newest one written by
@@ -45,11 +45,11 @@
 	era   int64
 }
 
-// NewBelief returns a Belief without a state.
-func NewBelief(steady func() clock.Millis) *Belief { return &Belief{steady: steady} }
+// NewStateTracker returns a Belief without a state.
+func NewStateTracker(steady func() clock.Millis) *StateTracker { return &StateTracker{steady: steady} }
 
 // State returns the current state, or nil if there is none yet.
-func (b *Belief) State() *State {
+func (b *StateTracker) State() *State {
 	if h := b.adopted.Load(); h != nil {
 		return h.state
 	}
@@ -57,7 +57,7 @@
 }
 
 // StateEra returns the newest era in which the store reported the current state.
-func (b *Belief) StateEra() int64 {
+func (b *StateTracker) StateEra() int64 {
 	if h := b.adopted.Load(); h != nil {
 		return h.era
 	}
@@ -67,7 +67,7 @@
 // Adopt makes a state reported by the store in an era the current one, unless the current one
 // is at least as new. It reports whether the current state was replaced. A version lower than
 // the current one is ignored, even after the store was restored from an older copy.
-func (b *Belief) Adopt(s *State, era int64) bool {
+func (b *StateTracker) Adopt(s *State, era int64) bool {
 	for {
 		old := b.adopted.Load()
 		newer := old == nil || old.state.version < s.version
@@ -84,9 +84,9 @@
 	}
 }
 
-// Meet records an era of the store. If the store has been restored from an older copy since
+// ObserveEra records an era of the store. If the store has been restored from an older copy since
 // the last call, it returns the previous era and true.
-func (b *Belief) Meet(era int64) (before int64, restored bool) {
+func (b *StateTracker) ObserveEra(era int64) (before int64, restored bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.eraKnown && era <= b.newestEra {
@@ -102,7 +102,7 @@
 
 // operatorsMayRewrite reports whether, at a point in time in an era, operators may still have
 // to write again what the restored store lost.
-func (b *Belief) operatorsMayRewrite(era int64, atMs clock.Millis) bool {
+func (b *StateTracker) operatorsMayRewrite(era int64, atMs clock.Millis) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return era >= b.newestEra && atMs < b.resettledMs
@@ -111,7 +111,7 @@
 // Confirm records a confirmation. A confirmation of a version lower than the current one
 // counts only if its era is not newer than the current state's, because a restored store may
 // hold a lower version.
-func (b *Belief) Confirm(p Confirmation) {
+func (b *StateTracker) Confirm(p Confirmation) {
 	h := b.adopted.Load()
 	switch {
 	case h == nil || h.state.version < p.Version:
@@ -130,7 +130,7 @@
 }
 
 // Confirmed returns the newest confirmation, if any.
-func (b *Belief) Confirmed() (p Confirmation, ok bool) {
+func (b *StateTracker) Confirmed() (p Confirmation, ok bool) {
 	if newest := b.confirmed.Load(); newest != nil {
 		return *newest, true
 	}
@@ -138,10 +138,10 @@
 }
 
 // ConfirmedMs returns the monotonic time of the newest confirmation, or 0 if there is none.
-func (b *Belief) ConfirmedMs() clock.Millis {
+func (b *StateTracker) ConfirmedMs() clock.Millis {
 	p, _ := b.Confirmed()
 	return p.AtMs
 }
 
 // AgeMs returns the time since the current state was last confirmed to be the newest.
-func (b *Belief) AgeMs() clock.Millis { return b.steady() - b.ConfirmedMs() }
+func (b *StateTracker) AgeMs() clock.Millis { return b.steady() - b.ConfirmedMs() }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -74,7 +74,7 @@
 
 func TestBelief(t *testing.T) {
 	now := clock.Millis(1000)
-	b := NewBelief(func() clock.Millis { return now })
+	b := NewStateTracker(func() clock.Millis { return now })
 	t.Run("ignores a lower version", func(t *testing.T) {
 		assert.True(t, b.Adopt(mustNew(t, content(7)), 0))
 		assert.False(t, b.Adopt(mustNew(t, content(6)), 0))
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -213,14 +213,14 @@
 	return newConn(raw), nil
 }
 
-// ReachMs is how long Reach waits for a connection, about thirty round trips between failure
+// HostReachableTimeoutMs is how long Reach waits for a connection, about thirty round trips between failure
 // domains.
-const ReachMs clock.Millis = 100
+const HostReachableTimeoutMs clock.Millis = 100
 
-// Reach reports whether the upstream's host responds. If a connection opens, it is kept for the next
+// HostReachable reports whether the upstream's host responds. If a connection opens, it is kept for the next
 // request. A refused connection also shows that the host is up.
-func (c *Client) Reach(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, ReachMs.Duration())
+func (c *Client) HostReachable(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, HostReachableTimeoutMs.Duration())
 	defer cancel()
 	raw, err := c.dial(ctx, "tcp", c.address)
 	if err != nil {
@@ -238,27 +238,27 @@
 const (
 	// Alive means that the process accepts connections.
 	Alive Liveness = iota
-	// Ended means that the host is up and refuses connections.
-	Ended
-	// Silent means that the connection attempt failed in any other way, such as by a timeout.
-	Silent
+	// Dead means that the host is up and refuses connections.
+	Dead
+	// Unresponsive means that the connection attempt failed in any other way, such as by a timeout.
+	Unresponsive
 )
 
-// Liveness determines whether the upstream's process is running. If a connection opens, it is kept
+// ProbeLiveness determines whether the upstream's process is running. If a connection opens, it is kept
 // for the next request. No connection is opened while a usable idle one exists.
-func (c *Client) Liveness(ctx context.Context) Liveness {
+func (c *Client) ProbeLiveness(ctx context.Context) Liveness {
 	if cn := c.popIdle(); cn != nil {
 		c.putUnused(cn)
 		return Alive
 	}
-	ctx, cancel := context.WithTimeout(ctx, ReachMs.Duration())
+	ctx, cancel := context.WithTimeout(ctx, HostReachableTimeoutMs.Duration())
 	defer cancel()
 	raw, err := c.dial(ctx, "tcp", c.address)
 	switch {
 	case errors.Is(err, unix.ECONNREFUSED):
-		return Ended
+		return Dead
 	case err != nil:
-		return Silent
+		return Unresponsive
 	}
 	c.onDial()
 	c.keepIdle(newConn(raw), defaultIdleTimeoutMs)
@@ -275,12 +275,12 @@
 // Do sends a request and returns the header of its response. The context covers the whole exchange
 // including the response body; when it is done, the connection is closed. The caller must close the
 // response.
-func (c *Client) Do(ctx context.Context, r *Request) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, r *Request) (*Response, error) {
 	cn, err := c.connect(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.maySend(); err != nil {
+	if err := r.beforeSend(); err != nil {
 		c.putUnused(cn)
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -68,7 +68,7 @@
 func request(id string) *Request {
 	return &Request{
 		Method: http.MethodPost, Target: "/a?b=c", Host: "h.example", Header: http.Header{"X-Id": {id}},
-		Body: []byte("body"), Mine: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Body: []byte("body"), Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
 
@@ -113,7 +113,7 @@
 		c := s.client()
 		late := request("1")
 		errLate := errors.New("late")
-		late.MaySend = func() error { return errLate }
+		late.BeforeSend = func() error { return errLate }
 		_, err := readAll(t, c, late)
 		require.ErrorIs(t, err, errLate)
 		assert.True(t, NothingSent(err))
@@ -131,7 +131,7 @@
 		_, err := readAll(t, c, request("1"))
 		require.NoError(t, err)
 		unsent := request("9")
-		unsent.MaySend = func() error { return errors.New("late") }
+		unsent.BeforeSend = func() error { return errors.New("late") }
 		_, err = readAll(t, c, unsent)
 		require.Error(t, err)
 		now += clock.Second
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -23,18 +23,18 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaySend is called after a connection was obtained and right before the first byte is written.
+	// BeforeSend is called after a connection was obtained and right before the first byte is written.
 	// If it returns an error, the request is not sent. It may be nil.
-	MaySend func() error
-	// Mine reports whether a response with the given header belongs to this request.
-	Mine func(header http.Header) bool
+	BeforeSend func() error
+	// Matches reports whether a response with the given header belongs to this request.
+	Matches func(header http.Header) bool
 }
 
-func (r *Request) maySend() error {
-	if r.MaySend == nil {
+func (r *Request) beforeSend() error {
+	if r.BeforeSend == nil {
 		return nil
 	}
-	return r.MaySend()
+	return r.BeforeSend()
 }
 
 // head returns the request line and the headers.
@@ -65,7 +65,7 @@
 // read. Requests of this size fit into the send buffer of a new connection.
 const maxInlineBytes = 8 << 10
 
-func (rt *roundTrip) run() (*Answer, error) {
+func (rt *roundTrip) run() (*Response, error) {
 	head, err := rt.request.head()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -111,7 +111,7 @@
 
 // receive reads the header of the response. It skips interim (1xx) responses and, on a reused
 // connection, surplus responses to earlier requests.
-func (rt *roundTrip) receive() (*Answer, error) {
+func (rt *roundTrip) receive() (*Response, error) {
 	mismatched := 0
 	for {
 		response, err := rt.readHead() //nolint:bodyclose // It is read to its end, or closed with the connection.
@@ -120,8 +120,8 @@
 		}
 		switch {
 		case response.StatusCode < http.StatusOK && response.StatusCode != http.StatusSwitchingProtocols:
-		case rt.request.Mine(response.Header):
-			return &Answer{Response: response, roundTrip: rt}, nil
+		case rt.request.Matches(response.Header):
+			return &Response{Response: response, roundTrip: rt}, nil
 		case mismatched == maxMismatched || !selfDelimited(response):
 			return nil, fmt.Errorf("%w: status %d", ErrResponseMismatch, response.StatusCode)
 		default:
@@ -150,8 +150,8 @@
 	_ = rt.conn.Close()
 }
 
-// Answer is a response whose body is streamed.
-type Answer struct {
+// Response is a response whose body is streamed.
+type Response struct {
 	*http.Response
 	roundTrip *roundTrip
 	eof       bool
@@ -161,7 +161,7 @@
 
 // Read reads from the body. It returns io.EOF at the end of a complete body and an error that wraps
 // ErrBroken if the body was truncated.
-func (a *Answer) Read(part []byte) (int, error) {
+func (a *Response) Read(part []byte) (int, error) {
 	n, err := a.Body.Read(part)
 	switch {
 	case err == nil:
@@ -176,7 +176,7 @@
 }
 
 // Close keeps the connection for the next request if it can be reused, and closes it otherwise.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.closed {
 		return
 	}
