--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -24,10 +24,10 @@
 func newFixture(t *testing.T, count int) *fixture {
 	t.Helper()
 	f := &fixture{now: 1000}
-	steady := func() clock.Millis { return f.now }
+	monotonic := func() clock.Millis { return f.now }
 	f.Manager = New(
 		Settings{FailureDomain: "d0", BoundPercent: 140, PanicPercent: 60, Health: health.Limits{BaseMs: 1000, MaxMs: 8000}},
-		steady, func(address string) *upstream.Client { return upstream.New(address, steady) }, func(int) int { return 0 },
+		monotonic, func(address string) *upstream.Client { return upstream.New(address, monotonic) }, func(int) int { return 0 },
 	)
 	for i := range count {
 		f.list = append(f.list, registry.Upstream{
@@ -38,11 +38,11 @@
 	return f
 }
 
-func sticky(session string) Ask {
-	return Ask{Pool: "p", Sticky: true, Prompt: prompt.Prompt{{ID: session, Tokens: 1000}, {ID: "own", Tokens: 10}}}
+func sticky(session string) PickRequest {
+	return PickRequest{Pool: "p", Sticky: true, Prompt: prompt.Prompt{{ID: session, Tokens: 1000}, {ID: "own", Tokens: 10}}}
 }
 
-func (f *fixture) pick(t *testing.T, a Ask) *Lease {
+func (f *fixture) pick(t *testing.T, a PickRequest) *Lease {
 	t.Helper()
 	l, err := f.Pick(a)
 	require.NoError(t, err)
@@ -102,13 +102,13 @@
 func TestPickLeast(t *testing.T) {
 	f := newFixture(t, 3)
 	t.Run("prefers its own failure domain while there is capacity", func(t *testing.T) {
-		l := f.pick(t, Ask{Pool: "p"})
+		l := f.pick(t, PickRequest{Pool: "p"})
 		assert.Equal(t, "u0", l.ID)
 	})
 	t.Run("uses other domains before its own one is full", func(t *testing.T) {
 		seen := map[string]bool{}
 		for range 8 {
-			seen[f.pick(t, Ask{Pool: "p"}).ID] = true
+			seen[f.pick(t, PickRequest{Pool: "p"}).ID] = true
 		}
 		assert.Len(t, seen, 3)
 	})
@@ -120,31 +120,31 @@
 		f.list[0].Draining = true
 		f.SetUpstreams(f.list)
 		for range 10 {
-			assert.Equal(t, "u1", f.pick(t, Ask{Pool: "p"}).ID)
+			assert.Equal(t, "u1", f.pick(t, PickRequest{Pool: "p"}).ID)
 		}
 	})
 	t.Run("an unreachable upstream is ejected for a while", func(t *testing.T) {
 		f := newFixture(t, 3)
-		l := f.pick(t, Ask{Pool: "p"})
+		l := f.pick(t, PickRequest{Pool: "p"})
 		l.Release(Unreachable)
-		assert.NotEqual(t, l.ID, f.pick(t, Ask{Pool: "p"}).ID)
+		assert.NotEqual(t, l.ID, f.pick(t, PickRequest{Pool: "p"}).ID)
 		f.now += 1000
-		assert.Equal(t, l.ID, f.pick(t, Ask{Pool: "p"}).ID)
+		assert.Equal(t, l.ID, f.pick(t, PickRequest{Pool: "p"}).ID)
 	})
 	t.Run("when most upstreams seem down, all are tried", func(t *testing.T) {
 		f := newFixture(t, 3)
 		for _, tried := range [][]string{nil, {"u0"}, {"u0", "u1"}} {
-			f.pick(t, Ask{Pool: "p", Tried: tried}).Release(Unreachable)
+			f.pick(t, PickRequest{Pool: "p", Tried: tried}).Release(Unreachable)
 		}
-		f.pick(t, Ask{Pool: "p"})
+		f.pick(t, PickRequest{Pool: "p"})
 	})
 	t.Run("no upstream of another pool is chosen", func(t *testing.T) {
-		_, err := newFixture(t, 1).Pick(Ask{Pool: "q"})
+		_, err := newFixture(t, 1).Pick(PickRequest{Pool: "q"})
 		require.ErrorIs(t, err, ErrNoUpstream)
 	})
 	t.Run("the same address with another ID is another upstream", func(t *testing.T) {
 		f := newFixture(t, 1)
-		f.pick(t, Ask{Pool: "p"})
+		f.pick(t, PickRequest{Pool: "p"})
 		f.list[0].ID = "new"
 		f.SetUpstreams(f.list)
 		assert.Empty(t, f.InFlight())
@@ -163,7 +163,7 @@
 						tried = append(tried, other.ID)
 					}
 				}
-				l, err := f.Pick(Ask{Pool: "p", Tried: tried})
+				l, err := f.Pick(PickRequest{Pool: "p", Tried: tried})
 				if err != nil {
 					continue
 				}
@@ -179,24 +179,24 @@
 	t.Run("an upstream that fails every other time is ejected", func(t *testing.T) {
 		f := newFixture(t, 3)
 		respond(f, 8, map[string]int{"u0": 2})
-		assert.NotEqual(t, "u0", f.pick(t, Ask{Pool: "p"}).ID)
+		assert.NotEqual(t, "u0", f.pick(t, PickRequest{Pool: "p"}).ID)
 	})
 	t.Run("no upstream is ejected when all fail alike", func(t *testing.T) {
 		f := newFixture(t, 3)
 		respond(f, 8, map[string]int{"u0": 2, "u1": 2, "u2": 2})
-		assert.Equal(t, "u0", f.pick(t, Ask{Pool: "p"}).ID)
+		assert.Equal(t, "u0", f.pick(t, PickRequest{Pool: "p"}).ID)
 	})
 	t.Run("an upstream that fails occasionally is not ejected", func(t *testing.T) {
 		f := newFixture(t, 3)
 		respond(f, 40, map[string]int{"u0": 7, "u1": 7, "u2": 7})
-		assert.Equal(t, "u0", f.pick(t, Ask{Pool: "p"}).ID)
+		assert.Equal(t, "u0", f.pick(t, PickRequest{Pool: "p"}).ID)
 	})
 }
 
 func TestFetchFrom(t *testing.T) {
 	// ask returns a request whose prompt has a head that many sessions share.
-	ask := func(session string) Ask {
-		return Ask{Pool: "p", Sticky: true, Transfers: true, Prompt: prompt.Prompt{
+	ask := func(session string) PickRequest {
+		return PickRequest{Pool: "p", Sticky: true, Transfers: true, Prompt: prompt.Prompt{
 			{ID: "head", Tokens: 2000}, {ID: session, Tokens: 5000}, {ID: "own", Tokens: 10},
 		}}
 	}
--- a/internal/balance/fetch.go
+++ b/internal/balance/fetch.go
@@ -13,7 +13,7 @@
 // more than the chosen engine caches. Fetching raises the value score by 0.029 on days with crashes
 // and partitions (ten paired runs, standard error 0.002); 0.005 of it (0.001) is due to what other
 // boxes announce about engines.
-func (m *Manager) chooseFetchSource(lease *Lease, a Ask, shared []prompt.KeyedPart, now clock.Millis) {
+func (m *Manager) chooseFetchSource(lease *Lease, a PickRequest, shared []prompt.KeyedPart, now clock.Millis) {
 	if !a.Transfers || len(shared) == 0 {
 		return
 	}
--- a/internal/balance/largefleet_test.go
+++ b/internal/balance/largefleet_test.go
@@ -83,7 +83,7 @@
 // send sends a request from a random box, and reports whether it went to an engine above the bound.
 func (f *largeFleet) send(t *testing.T, k requestKind, session string) (overBound bool) {
 	t.Helper()
-	lease, err := f.boxes[f.random.IntN(len(f.boxes))].PickWithPermit(Ask{
+	lease, err := f.boxes[f.random.IntN(len(f.boxes))].PickWithPermit(PickRequest{
 		Pool: "p", Sticky: true, Prompt: prompt.Prompt{{ID: session, Tokens: k.tokens}, {ID: "own", Tokens: 300}},
 	}, f.acquirePermit)
 	require.NoError(t, err)
--- a/internal/balance/manager.go
+++ b/internal/balance/manager.go
@@ -31,7 +31,7 @@
 // Manager holds the pools and their upstreams. It is safe for concurrent use.
 type Manager struct {
 	settings Settings
-	steady   func() clock.Millis
+	monotonic   func() clock.Millis
 	connect  func(address string) *upstream.Client
 	random   func(n int) int
 
@@ -59,13 +59,13 @@
 	departedSignals map[string]*upstreamSignals
 }
 
-// New returns a manager without upstreams. Steady is a monotonic clock, connect creates the client
+// New returns a manager without upstreams. Monotonic is a monotonic clock, connect creates the client
 // of an upstream, and random returns a number below n.
 func New(
-	settings Settings, steady func() clock.Millis, connect func(address string) *upstream.Client, random func(n int) int,
+	settings Settings, monotonic func() clock.Millis, connect func(address string) *upstream.Client, random func(n int) int,
 ) *Manager {
 	return &Manager{
-		settings: settings, steady: steady, connect: connect, random: random,
+		settings: settings, monotonic: monotonic, connect: connect, random: random,
 		byID: map[string]*Member{}, pools: map[string][]*Member{}, domains: map[string]*netPath{},
 		departed: map[string][]*Member{}, lostParts: partIndex{}, retries: map[string]*retrySchedule{},
 		departedSignals: map[string]*upstreamSignals{}, hotSessions: map[string]*sessionCounts{},
@@ -104,7 +104,7 @@
 // server has restarted: a restart empties its cache.
 func (m *Manager) recordDeparture(member, successor *Member) {
 	if successor == nil || successor.StartedMs == member.StartedMs {
-		member.departedMs = m.steady()
+		member.departedMs = m.monotonic()
 		m.storeSignals(member)
 		m.departed[member.Pool] = append(m.departed[member.Pool], member)
 	}
@@ -175,7 +175,7 @@
 // it every second.
 func (m *Manager) Refresh() {
 	m.mu.Lock()
-	m.expireDeparted(m.steady())
+	m.expireDeparted(m.monotonic())
 	members := make([]*Member, 0, len(m.byID))
 	for _, member := range m.byID {
 		members = append(members, member)
--- a/internal/balance/netpath.go
+++ b/internal/balance/netpath.go
@@ -83,7 +83,7 @@
 func (m *Manager) pathTo(name string) *netPath {
 	p := m.domains[name]
 	if p == nil {
-		p = newNetPath(m.steady())
+		p = newNetPath(m.monotonic())
 		m.domains[name] = p
 	}
 	return p
@@ -91,7 +91,7 @@
 
 // recordResult updates the health of an upstream and of its path with the outcome of an attempt.
 func (m *Manager) recordResult(member *Member, result Result) {
-	now, limits := m.steady(), m.settings.Health
+	now, limits := m.monotonic(), m.settings.Health
 	p := m.pathTo(member.FailureDomain)
 	switch result {
 	case Succeeded:
@@ -124,7 +124,7 @@
 // gave a sign of life. Only the next probe decides whether a partitioned path has recovered.
 func (m *Manager) recordResponseStart(member *Member) {
 	member.probation = false
-	m.pathTo(member.FailureDomain).recordContact(m.steady())
+	m.pathTo(member.FailureDomain).recordContact(m.monotonic())
 }
 
 // closeIdleConnections closes the idle connections to a failure domain. A request on a new
--- a/internal/balance/netpath_test.go
+++ b/internal/balance/netpath_test.go
@@ -27,7 +27,7 @@
 	t.Run("a domain that sends responses is probed after a silence of a tenth of a second", func(t *testing.T) {
 		f := newFixture(t, 6)
 		for range minResponding {
-			l := f.pick(t, Ask{Pool: "p"})
+			l := f.pick(t, PickRequest{Pool: "p"})
 			require.Equal(t, "d0", l.FailureDomain)
 			l.RecordResponseStart()
 		}
@@ -40,7 +40,7 @@
 	t.Run("a domain is not probed once its responses have ended", func(t *testing.T) {
 		f := newFixture(t, 6)
 		for range minResponding {
-			l := f.pick(t, Ask{Pool: "p"})
+			l := f.pick(t, PickRequest{Pool: "p"})
 			l.RecordResponseStart()
 			l.Release(Succeeded)
 		}
@@ -92,20 +92,20 @@
 		_, changed = f.RecordProbe("d0", false)
 		require.False(t, changed)
 		for range 20 {
-			assert.NotEqual(t, "d0", f.pick(t, Ask{Pool: "p"}).FailureDomain)
+			assert.NotEqual(t, "d0", f.pick(t, PickRequest{Pool: "p"}).FailureDomain)
 		}
 		f.now += probeIntervalMs
 		assert.Contains(t, dueProbes(f), "d0")
 		outage, changed := f.RecordProbe("d0", true)
 		require.True(t, changed)
 		assert.Equal(t, probeIntervalMs, outage)
-		assert.Equal(t, "d0", f.pick(t, Ask{Pool: "p"}).FailureDomain)
+		assert.Equal(t, "d0", f.pick(t, PickRequest{Pool: "p"}).FailureDomain)
 	})
 	t.Run("running requests behind a partition are notified once, ended ones never", func(t *testing.T) {
 		f := newFixture(t, 6)
 		notified := []string{}
 		for _, name := range []string{"running", "ended"} {
-			l := f.pick(t, Ask{Pool: "p"})
+			l := f.pick(t, PickRequest{Pool: "p"})
 			require.Equal(t, "d0", l.FailureDomain)
 			l.OnPartition(func() { notified = append(notified, name) })
 			if name == "ended" {
@@ -122,7 +122,7 @@
 		for _, name := range []string{"d0", "d1", "d2"} {
 			f.RecordProbe(name, false)
 		}
-		_, err := f.Pick(Ask{Pool: "p"})
+		_, err := f.Pick(PickRequest{Pool: "p"})
 		require.ErrorIs(t, err, ErrNoUpstream)
 	})
 	t.Run("two unreachable upstreams request a probe but do not mark the path as partitioned", func(t *testing.T) {
@@ -134,9 +134,9 @@
 					tried = append(tried, u.ID)
 				}
 			}
-			f.pick(t, Ask{Pool: "p", Tried: tried}).Release(Unreachable)
+			f.pick(t, PickRequest{Pool: "p", Tried: tried}).Release(Unreachable)
 		}
 		assert.Equal(t, []string{"d0"}, dueProbes(f))
-		assert.Equal(t, "u6", f.pick(t, Ask{Pool: "p"}).ID)
+		assert.Equal(t, "u6", f.pick(t, PickRequest{Pool: "p"}).ID)
 	})
 }
--- a/internal/balance/parts.go
+++ b/internal/balance/parts.go
@@ -100,7 +100,7 @@
 func (m *Manager) RecordAnnouncements(list []prompt.CachedPart) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.steady()
+	now := m.monotonic()
 	for _, entry := range list {
 		if member := m.byKey[entry.Upstream]; member != nil {
 			member.parts.record(entry.Part, now)
--- a/internal/balance/parts_test.go
+++ b/internal/balance/parts_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestAnnouncedParts(t *testing.T) {
-	ask := Ask{Pool: "p", Sticky: true, Transfers: true, Prompt: prompt.Prompt{
+	ask := PickRequest{Pool: "p", Sticky: true, Transfers: true, Prompt: prompt.Prompt{
 		{ID: "head", Tokens: 2000}, {ID: "s", Tokens: 5000}, {ID: "own", Tokens: 10},
 	}}
 	t.Run("an engine fetches a session from where another box had it prefilled", func(t *testing.T) {
--- a/internal/balance/permits.go
+++ b/internal/balance/permits.go
@@ -27,7 +27,7 @@
 
 // PickWithPermit picks like Pick, and requests a permit at each engine until one is granted.
 // AcquirePermit requests a permit under a bound from the owner of the lease's engine.
-func (m *Manager) PickWithPermit(a Ask, acquirePermit func(lease *Lease, bound int) PermitReply) (*Lease, error) {
+func (m *Manager) PickWithPermit(a PickRequest, acquirePermit func(lease *Lease, bound int) PermitReply) (*Lease, error) {
 	for {
 		lease, err := m.Pick(a)
 		if err != nil || lease.bound == 0 {
@@ -52,7 +52,7 @@
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
 	l.onRelease = release
-	l.recordPrompt(l.manager.steady())
+	l.recordPrompt(l.manager.monotonic())
 }
 
 // cancel reverts a pick that got no permit.
--- a/internal/balance/permits_test.go
+++ b/internal/balance/permits_test.go
@@ -86,13 +86,13 @@
 		f, owner := newFixture(t, 12), &fakeOwner{}
 		_, err := f.PickWithPermit(sticky("s"), owner.acquire)
 		require.NoError(t, err)
-		_, err = inLargeFleet(t, 120).PickWithPermit(Ask{Pool: "p"}, owner.acquire)
+		_, err = inLargeFleet(t, 120).PickWithPermit(PickRequest{Pool: "p"}, owner.acquire)
 		require.NoError(t, err)
 		assert.Empty(t, owner.upstreams)
 	})
 	t.Run("returns an error if no upstream accepts the request", func(t *testing.T) {
 		f, owner := inLargeFleet(t, 120), &fakeOwner{}
-		_, err := f.PickWithPermit(Ask{Pool: "none"}, owner.acquire)
+		_, err := f.PickWithPermit(PickRequest{Pool: "none"}, owner.acquire)
 		require.ErrorIs(t, err, ErrNoUpstream)
 	})
 }
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -14,8 +14,8 @@
 // ErrNoUpstream means that no upstream of the pool accepts the request.
 var ErrNoUpstream = errors.New("no upstream accepts the request")
 
-// Ask holds the inputs of a choice.
-type Ask struct {
+// PickRequest holds the inputs of a choice.
+type PickRequest struct {
 	Pool string
 	// Sticky ranks engines by the prompt's session.
 	Sticky bool
@@ -80,10 +80,10 @@
 )
 
 // Pick chooses an upstream and counts the request there.
-func (m *Manager) Pick(a Ask) (*Lease, error) {
+func (m *Manager) Pick(a PickRequest) (*Lease, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.steady()
+	now := m.monotonic()
 	members := m.candidates(a, now)
 	if len(members) == 0 {
 		return nil, m.noUpstreamError(a.Pool, now)
@@ -115,7 +115,7 @@
 // candidates returns the members that may receive the request. Ejections apply only while enough
 // members remain. Members behind a partitioned path can't be reached at all, and members that
 // decline requests get none.
-func (m *Manager) candidates(a Ask, now clock.Millis) []*Member {
+func (m *Manager) candidates(a PickRequest, now clock.Millis) []*Member {
 	healthy, all := []*Member{}, []*Member{}
 	for _, member := range m.pools[a.Pool] {
 		if member.refuses(now) || m.pathTo(member.FailureDomain).partitioned ||
@@ -136,7 +136,7 @@
 // pickSticky chooses the first engine in the session's order that is below the bound, or else the
 // least loaded one. A session that needs more capacity than one engine has starts at a random one
 // of as many engines as it needs.
-func (m *Manager) pickSticky(lease *Lease, members []*Member, a Ask, total int, now clock.Millis) {
+func (m *Manager) pickSticky(lease *Lease, members []*Member, a PickRequest, total int, now clock.Millis) {
 	ranked := rank(a.Prompt.Session(), members)
 	bound := m.bound(total, len(members))
 	lease.Spread = spreadWidth(m.sessionShare(a, now), total, len(members), bound)
@@ -165,7 +165,7 @@
 }
 
 // sessionShare counts a request, and returns its session's share of the pool's recent requests.
-func (m *Manager) sessionShare(a Ask, now clock.Millis) float64 {
+func (m *Manager) sessionShare(a PickRequest, now clock.Millis) float64 {
 	h := m.hotSessions[a.Pool]
 	if h == nil {
 		h = newSessionCounts(now)
@@ -266,7 +266,7 @@
 	l.released = true
 	l.inFlight--
 	delete(l.path.onOutage, l)
-	l.manager.retryScheduleFor(l.Pool).recordCompletion(l.manager.steady())
+	l.manager.retryScheduleFor(l.Pool).recordCompletion(l.manager.monotonic())
 	if l.responding {
 		l.path.responding--
 	}
@@ -292,12 +292,12 @@
 	defer l.manager.mu.Unlock()
 	l.reportedLoad = count
 	l.inFlightAtReport = l.inFlight
-	l.reportedMs = l.manager.steady()
+	l.reportedMs = l.manager.monotonic()
 }
 
 // RecordContact records that a part of the response arrived, which shows that the path to the upstream
 // works.
-func (l *Lease) RecordContact() { l.path.recordContact(l.manager.steady()) }
+func (l *Lease) RecordContact() { l.path.recordContact(l.manager.monotonic()) }
 
 // RecordResponseStart records that the response has started.
 func (l *Lease) RecordResponseStart() {
--- a/internal/balance/pick_bench_test.go
+++ b/internal/balance/pick_bench_test.go
@@ -16,7 +16,7 @@
 // 0.2 us among 15 and 0.25 to 0.38 ms among 10,000 (three runs each).
 func BenchmarkPick(b *testing.B) {
 	for _, count := range []int{15, 10_000} {
-		for name, ask := range map[string]Ask{"session": sticky("s"), "plain": {Pool: "p"}} {
+		for name, ask := range map[string]PickRequest{"session": sticky("s"), "plain": {Pool: "p"}} {
 			benchmarkPick(b, fmt.Sprintf("%s of %d", name, count), newLargePool(count), ask)
 			backingOff := newLargePool(count)
 			for _, member := range backingOff.byID {
@@ -27,7 +27,7 @@
 	}
 }
 
-func benchmarkPick(b *testing.B, name string, m *Manager, ask Ask) {
+func benchmarkPick(b *testing.B, name string, m *Manager, ask PickRequest) {
 	b.Helper()
 	b.Run(name, func(b *testing.B) {
 		b.ReportAllocs()
@@ -47,9 +47,9 @@
 			ID: fmt.Sprintf("u%05d", i), Pool: "p", Address: "127.0.0.1:1", FailureDomain: "d", Slots: 8,
 		}
 	}
-	steady := func() clock.Millis { return 1000 }
-	m := New(Settings{FailureDomain: "d", BoundPercent: 150, PanicPercent: 50}, steady,
-		func(address string) *upstream.Client { return upstream.New(address, steady) }, func(int) int { return 0 })
+	monotonic := func() clock.Millis { return 1000 }
+	m := New(Settings{FailureDomain: "d", BoundPercent: 150, PanicPercent: 50}, monotonic,
+		func(address string) *upstream.Client { return upstream.New(address, monotonic) }, func(int) int { return 0 })
 	m.SetUpstreams(list)
 	return m
 }
--- a/internal/balance/prefill.go
+++ b/internal/balance/prefill.go
@@ -32,7 +32,7 @@
 
 // estimatePrefill returns what the chosen engine is expected to prefill. It must run before the
 // prompt is recorded as cached there.
-func (m *Manager) estimatePrefill(lease *Lease, a Ask, shared []prompt.KeyedPart, now clock.Millis) Prefill {
+func (m *Manager) estimatePrefill(lease *Lease, a PickRequest, shared []prompt.KeyedPart, now clock.Millis) Prefill {
 	total := tokens(shared)
 	cached := lease.parts.cachedTokens(shared, now)
 	unreachable, concurrent, reachable := 0, 0, 0
--- a/internal/balance/prefill_test.go
+++ b/internal/balance/prefill_test.go
@@ -13,7 +13,7 @@
 	transfers.Transfers = true
 	// secondPrefill returns the prefill of an engine to which a session is sent after its first
 	// engine prefilled it.
-	secondPrefill := func(t *testing.T, a Ask, disrupt func(f *fixture, first *Lease)) Prefill {
+	secondPrefill := func(t *testing.T, a PickRequest, disrupt func(f *fixture, first *Lease)) Prefill {
 		t.Helper()
 		f := newFixture(t, 6)
 		first := f.pick(t, a)
--- a/internal/balance/probes.go
+++ b/internal/balance/probes.go
@@ -44,7 +44,7 @@
 	m.mu.Lock()
 	p := m.pathTo(failureDomain)
 	m.mu.Unlock()
-	p.recordContact(m.steady())
+	p.recordContact(m.monotonic())
 }
 
 // Probes returns the probes that are due. HeartbeatMs is the interval at which some box of a
@@ -53,7 +53,7 @@
 func (m *Manager) Probes(heartbeatMs map[string]clock.Millis, paused bool) []Probe {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.steady()
+	now := m.monotonic()
 	probes := []Probe{}
 	for name, p := range m.domains {
 		if paused {
@@ -102,7 +102,7 @@
 func (m *Manager) recordProbe(name string, opened bool) (outageMs clock.Millis, changed bool, callbacks []func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.steady()
+	now := m.monotonic()
 	p := m.pathTo(name)
 	changed = p.partitioned == opened
 	p.probing, p.partitioned = false, !opened
--- a/internal/balance/retryafter.go
+++ b/internal/balance/retryafter.go
@@ -90,7 +90,7 @@
 func (m *Manager) RetryAfterMs(pool string, priority int) clock.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.steady()
+	now := m.monotonic()
 	earliest := max(minRetryAfterMs, m.availableIn(pool, now))
 	return m.retryScheduleFor(pool).schedule(now, earliest, priority)
 }
--- a/internal/balance/retryafter_test.go
+++ b/internal/balance/retryafter_test.go
@@ -13,7 +13,7 @@
 	busy := func(t *testing.T, f *fixture, interval clock.Millis) {
 		t.Helper()
 		for range 200 {
-			l := f.pick(t, Ask{Pool: "p"})
+			l := f.pick(t, PickRequest{Pool: "p"})
 			f.now += interval
 			l.Release(Succeeded)
 		}
@@ -49,7 +49,7 @@
 	t.Run("when all upstreams are ejected, callers retry once the first may be tried again", func(t *testing.T) {
 		f := newFixture(t, 1)
 		busy(t, f, 10)
-		f.pick(t, Ask{Pool: "p"}).Release(Unreachable)
+		f.pick(t, PickRequest{Pool: "p"}).Release(Unreachable)
 		f.now += 900
 		assert.InDelta(t, 110, int(f.RetryAfterMs("p", 0)), 5)
 	})
--- a/internal/balance/signals.go
+++ b/internal/balance/signals.go
@@ -89,7 +89,7 @@
 func (l *Lease) BackOff(duration clock.Millis, request string) bool {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
-	now := l.manager.steady()
+	now := l.manager.monotonic()
 	changed := !l.signals.backingOff(now)
 	until := now + duration
 	l.signals.backoffSetMs = now
@@ -121,7 +121,7 @@
 	switch {
 	case l.draining():
 		return ErrDraining
-	case l.signals.backingOff(l.manager.steady()):
+	case l.signals.backingOff(l.manager.monotonic()):
 		return ErrBackingOff
 	default:
 		return nil
@@ -132,7 +132,7 @@
 func (m *Manager) BackingOff() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now, counts := m.steady(), map[string]int{}
+	now, counts := m.monotonic(), map[string]int{}
 	for _, member := range m.byID {
 		if member.signals.backingOff(now) {
 			counts[member.Pool]++
@@ -175,7 +175,7 @@
 // successorBackoffUntil returns the end of the backoff that the next incarnation inherits from a
 // previous one.
 func (m *Manager) successorBackoffUntil(previous *upstreamSignals) clock.Millis {
-	if m.steady()-previous.backoffSetMs <= maxRestartLagMs {
+	if m.monotonic()-previous.backoffSetMs <= maxRestartLagMs {
 		return previous.backoffUntilMs
 	}
 	return previous.successorUntilMs
@@ -184,7 +184,7 @@
 // storeSignals keeps the signals of an upstream whose entry is gone: entries expire while the store
 // that holds them is unavailable, and reappear later.
 func (m *Manager) storeSignals(member *Member) {
-	member.signals.departedMs = m.steady()
+	member.signals.departedMs = m.monotonic()
 	m.departedSignals[member.ID] = member.signals
 }
 
--- a/internal/balance/signals_test.go
+++ b/internal/balance/signals_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	received := false
 	for i := range 50 {
-		for _, ask := range []Ask{{Pool: "p"}, sticky("s"), sticky(fmt.Sprint("s", i))} {
+		for _, ask := range []PickRequest{{Pool: "p"}, sticky("s"), sticky(fmt.Sprint("s", i))} {
 			l, err := f.Pick(ask)
 			if err != nil {
 				continue
@@ -70,7 +70,7 @@
 	t.Run("a backoff applies even if the other upstreams are ejected", func(t *testing.T) {
 		f, first := newBackoffFixture(t, 3)
 		for range 2 {
-			l := f.pick(t, Ask{Pool: "p"})
+			l := f.pick(t, PickRequest{Pool: "p"})
 			l.Release(Unreachable)
 		}
 		assertReceivesRequests(t, f, first.ID, false)
@@ -206,7 +206,7 @@
 		t.Helper()
 		f := newFixture(t, len(durations))
 		for i, duration := range durations {
-			l := f.pick(t, Ask{Pool: "p"})
+			l := f.pick(t, PickRequest{Pool: "p"})
 			l.BackOff(duration, fmt.Sprint("r", i))
 			l.Release(Neutral)
 		}
@@ -215,7 +215,7 @@
 	t.Run("the error names the backoff that ends first and the request that was refused", func(t *testing.T) {
 		f := newBackoffPool(t, 4000, 2000, 3000)
 		f.now += 500
-		_, err := f.Pick(Ask{Pool: "p"})
+		_, err := f.Pick(PickRequest{Pool: "p"})
 		require.ErrorIs(t, err, ErrNoUpstream)
 		var all *AllBackingOffError
 		require.ErrorAs(t, err, &all)
--- a/internal/balance/skipped.go
+++ b/internal/balance/skipped.go
@@ -37,7 +37,7 @@
 
 // skippedEngine returns the engine that ranks first for the session in the whole pool, unless it
 // was chosen.
-func (m *Manager) skippedEngine(lease *Lease, a Ask, now clock.Millis) Skipped {
+func (m *Manager) skippedEngine(lease *Lease, a PickRequest, now clock.Millis) Skipped {
 	first := rank(a.Prompt.Session(), m.pools[a.Pool])[0]
 	if first == lease.Member {
 		return Skipped{}
@@ -49,7 +49,7 @@
 	return Skipped{Upstream: first.ID, Reason: why}
 }
 
-func (m *Manager) skipReason(member *Member, a Ask, now clock.Millis) SkipReason {
+func (m *Manager) skipReason(member *Member, a PickRequest, now clock.Millis) SkipReason {
 	switch {
 	case slices.Contains(a.Tried, member.ID):
 		return SkipTried
--- a/internal/balance/surge_test.go
+++ b/internal/balance/surge_test.go
@@ -42,7 +42,7 @@
 		now: 1000, random: rand.New(rand.NewPCG(1, 2)), engineLoad: map[string]int{},
 		completions: map[clock.Millis][]*Lease{},
 	}
-	steady := func() clock.Millis { return s.now }
+	monotonic := func() clock.Millis { return s.now }
 	for i := range engines {
 		s.engines = append(s.engines, registry.Upstream{
 			ID: fmt.Sprint("engine-", i), Pool: "p", Address: fmt.Sprint("127.0.0.1:", i+1), FailureDomain: "d", Slots: 48,
@@ -51,7 +51,7 @@
 	for range boxes {
 		m := New(
 			Settings{FailureDomain: "d", BoundPercent: 180, PanicPercent: 85, Health: health.Limits{BaseMs: 1000, MaxMs: 8000}},
-			steady, func(address string) *upstream.Client { return upstream.New(address, steady) }, s.random.IntN,
+			monotonic, func(address string) *upstream.Client { return upstream.New(address, monotonic) }, s.random.IntN,
 		)
 		m.SetUpstreams(s.engines)
 		s.boxes = append(s.boxes, m)
@@ -113,7 +113,7 @@
 		if s.random.IntN(percent) < hotPercent {
 			session = "hot"
 		}
-		lease, err := s.boxes[s.random.IntN(len(s.boxes))].Pick(Ask{
+		lease, err := s.boxes[s.random.IntN(len(s.boxes))].Pick(PickRequest{
 			Pool: "p", Sticky: true, Prompt: prompt.Prompt{{ID: session, Tokens: 2000}, {ID: "own", Tokens: 10}},
 		})
 		require.NoError(t, err)
--- a/internal/clock/boot.go
+++ b/internal/clock/boot.go
@@ -17,13 +17,13 @@
 
 import "time"
 
-// bootSteady returns a monotonic clock that keeps running while the machine is suspended. It
+// bootMonotonic returns a monotonic clock that keeps running while the machine is suspended. It
 // starts at one second, so that no reading is zero. The C library reads it without a system
 // call. Without CLOCK_BOOTTIME it falls back to the clock that stops during suspension.
-func bootSteady() func() Millis {
+func bootMonotonic() func() Millis {
 	start := bootTime()
 	if start < 0 {
-		return systemSteady()
+		return systemMonotonic()
 	}
 	start -= time.Second
 	return func() Millis { return Millis((bootTime() - start) / time.Millisecond) }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -30,7 +30,7 @@
 // Copies share their timers.
 type Clock struct {
 	now    func() Millis
-	steady func() Millis
+	monotonic func() Millis
 	// sleep replaces the implementation of Sleep, if it is set.
 	sleep  func(ctx context.Context, span Millis) error
 	timers *timers
@@ -49,34 +49,34 @@
 	return func(c *Clock) { c.sleep = sleep }
 }
 
-// WithSteady replaces the source of the monotonic time.
-func WithSteady(steady func() Millis) Option {
-	return func(c *Clock) { c.steady = steady }
+// WithMonotonic replaces the source of the monotonic time.
+func WithMonotonic(monotonic func() Millis) Option {
+	return func(c *Clock) { c.monotonic = monotonic }
 }
 
 // WithBootTime makes the monotonic time include the time in which the machine is suspended.
 // Without it, a box that was suspended for seconds treats outdated confirmations of keys and
 // versions as recent, and passed deadlines as still ahead. A reading takes 68 ns instead of
 // 37 ns (BenchmarkSteady).
-func WithBootTime() Option { return WithSteady(bootSteady()) }
+func WithBootTime() Option { return WithMonotonic(bootMonotonic()) }
 
 // New returns the system clock, modified by the options. By default its monotonic time stops
 // while the machine is suspended, and follows the fake time of synctest bubbles.
 func New(options ...Option) Clock {
-	c := Clock{now: systemNow, steady: systemSteady()}
+	c := Clock{now: systemNow, monotonic: systemMonotonic()}
 	for _, option := range options {
 		option(&c)
 	}
-	c.timers = newTimers(c.steady)
+	c.timers = newTimers(c.monotonic)
 	return c
 }
 
 // Now returns the current instant.
 func (c Clock) Now() Millis { return c.now() }
 
-// Steady returns the monotonic time since a fixed instant in this process. Clock
+// Monotonic returns the monotonic time since a fixed instant in this process. Clock
 // adjustments don't affect it, so ages and deadlines are measured with it.
-func (c Clock) Steady() Millis { return c.steady() }
+func (c Clock) Monotonic() Millis { return c.monotonic() }
 
 // Sleep waits for the span to elapse. If the context ends first, it returns the context's error.
 func (c Clock) Sleep(ctx context.Context, span Millis) error {
@@ -130,8 +130,8 @@
 
 func systemNow() Millis { return Millis(time.Now().UnixMilli()) }
 
-// systemSteady returns a monotonic clock that starts at one second, so that no reading is zero.
-func systemSteady() func() Millis {
+// systemMonotonic returns a monotonic clock that starts at one second, so that no reading is zero.
+func systemMonotonic() func() Millis {
 	start := time.Now().Add(-time.Second)
 	return func() Millis { return Millis(time.Since(start) / time.Millisecond) }
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -21,7 +21,7 @@
 func newFixture() *fixture {
 	f := &fixture{}
 	base := New()
-	f.Clock = New(WithSteady(func() Millis { return base.Steady() + Millis(f.suspendedMs.Load()) }))
+	f.Clock = New(WithMonotonic(func() Millis { return base.Monotonic() + Millis(f.suspendedMs.Load()) }))
 	return f
 }
 
@@ -145,9 +145,9 @@
 // TestBootTime reads the clock that includes suspensions.
 func TestBootTime(t *testing.T) {
 	c := New(WithBootTime())
-	first := c.Steady()
+	first := c.Monotonic()
 	assert.Positive(t, first)
-	assert.GreaterOrEqual(t, c.Steady(), first)
+	assert.GreaterOrEqual(t, c.Monotonic(), first)
 }
 
 // BenchmarkSteady reads the monotonic time: "before" on the clock that excludes suspensions,
@@ -156,7 +156,7 @@
 	for name, c := range map[string]Clock{"before": New(), "after": New(WithBootTime())} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
-				_ = c.Steady()
+				_ = c.Monotonic()
 			}
 		})
 	}
--- a/internal/clock/timer.go
+++ b/internal/clock/timer.go
@@ -40,7 +40,7 @@
 }
 
 func (t *Timer) restart(span Millis) {
-	t.dueMs = t.timers.steady() + span
+	t.dueMs = t.timers.monotonic() + span
 	t.system.Reset(span.Duration())
 }
 
@@ -60,14 +60,14 @@
 
 // timers holds the pending timers of a clock.
 type timers struct {
-	steady func() Millis
+	monotonic func() Millis
 
 	mu  sync.Mutex
 	all map[*Timer]struct{}
 }
 
-func newTimers(steady func() Millis) *timers {
-	return &timers{steady: steady, all: map[*Timer]struct{}{}}
+func newTimers(monotonic func() Millis) *timers {
+	return &timers{monotonic: monotonic, all: map[*Timer]struct{}{}}
 }
 
 // minSpan is the minimum span of a timer, since a timer that is due immediately crashes Go
@@ -77,7 +77,7 @@
 func (s *timers) start(span Millis, call func()) *Timer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := &Timer{timers: s, call: call, dueMs: s.steady() + span}
+	t := &Timer{timers: s, call: call, dueMs: s.monotonic() + span}
 	t.system = time.AfterFunc(max(minSpan, span.Duration()), t.run)
 	s.all[t] = struct{}{}
 	return t
@@ -86,7 +86,7 @@
 func (s *timers) resumed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.steady()
+	now := s.monotonic()
 	for t := range s.all {
 		if remaining := t.dueMs - now; remaining > 0 {
 			t.system.Reset(remaining.Duration())
--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -21,8 +21,8 @@
 	Routine() bool
 }
 
-// Picked records which upstream a request is sent to and why.
-type Picked struct {
+// UpstreamPicked records which upstream a request is sent to and why.
+type UpstreamPicked struct {
 	Request  string
 	Route    string
 	Pool     string
@@ -52,13 +52,13 @@
 }
 
 // Name implements Event.
-func (Picked) Name() string { return "upstream picked" }
+func (UpstreamPicked) Name() string { return "upstream picked" }
 
 // Routine implements Event.
-func (e Picked) Routine() bool { return e.Attempt == 1 }
+func (e UpstreamPicked) Routine() bool { return e.Attempt == 1 }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (e Picked) MarshalLogObject(o zapcore.ObjectEncoder) error {
+func (e UpstreamPicked) MarshalLogObject(o zapcore.ObjectEncoder) error {
 	o.AddString("request", e.Request)
 	o.AddString("route", e.Route)
 	o.AddString("pool", e.Pool)
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// Ended records the outcome of a request.
-type Ended struct {
+// RequestEnded records the outcome of a request.
+type RequestEnded struct {
 	Request string
 	// Fingerprint identifies the content of the request; it is empty if the body was not read.
 	Fingerprint  string
@@ -149,13 +149,13 @@
 }
 
 // Name implements Event.
-func (Ended) Name() string { return "request ended" }
+func (RequestEnded) Name() string { return "request ended" }
 
 // Routine implements Event.
-func (e Ended) Routine() bool { return e.Cause == "" }
+func (e RequestEnded) Routine() bool { return e.Cause == "" }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (e Ended) MarshalLogObject(o zapcore.ObjectEncoder) error {
+func (e RequestEnded) MarshalLogObject(o zapcore.ObjectEncoder) error {
 	o.AddString("request", e.Request)
 	addIfSet(o, "fingerprint", e.Fingerprint)
 	addIfSet(o, "route", e.Route)
@@ -197,8 +197,8 @@
 	ID         string
 	Lost       bool
 	Err        string
-	// AwayMs is how long the dependency was unavailable; it is logged when it is available again.
-	AwayMs clock.Millis
+	// UnavailableMs is how long the dependency was unavailable; it is logged when it is available again.
+	UnavailableMs clock.Millis
 }
 
 // Name implements Event.
@@ -218,7 +218,7 @@
 	addIfSet(o, "id", e.ID)
 	addIfSet(o, "error", e.Err)
 	if !e.Lost {
-		o.AddInt64("away_ms", int64(e.AwayMs))
+		o.AddInt64("away_ms", int64(e.UnavailableMs))
 	}
 	return nil
 }
@@ -306,8 +306,8 @@
 	Pool     string
 	// BackoffMs is the requested backoff, or 0 if the upstream is shutting down.
 	BackoffMs clock.Millis
-	// AnswerTo is the id of the request whose response carried the signal.
-	AnswerTo string
+	// Request is the id of the request whose response carried the signal.
+	Request string
 }
 
 // Name implements Event.
@@ -328,7 +328,7 @@
 	if e.BackoffMs > 0 {
 		o.AddInt64("rest_ms", int64(e.BackoffMs))
 	}
-	o.AddString("answer_to", e.AnswerTo)
+	o.AddString("answer_to", e.Request)
 	return nil
 }
 
--- a/internal/decision/log.go
+++ b/internal/decision/log.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Tell queues an event for the writer and drops it if its queue is full.
-func (l *Log) Tell(e Event) {
+// Record queues an event for the writer and drops it if its queue is full.
+func (l *Log) Record(e Event) {
 	queue := l.important
 	if e.Routine() {
 		queue = l.routine
@@ -109,7 +109,7 @@
 }
 
 func (w *writer) write(e Event) {
-	now := w.log.clock.Steady()
+	now := w.log.clock.Monotonic()
 	if now-w.windowStartMs >= clock.Second {
 		w.windowStartMs, w.important, w.routine = now, 0, 0
 		w.reportDropped()
--- a/internal/decision/log_test.go
+++ b/internal/decision/log_test.go
@@ -55,9 +55,9 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			go l.Run(ctx)
 			for range 100 {
-				l.Tell(Ended{Request: "r"})
+				l.Record(RequestEnded{Request: "r"})
 			}
-			l.Tell(Ended{Request: "bad", Cause: "no_route"})
+			l.Record(RequestEnded{Request: "bad", Cause: "no_route"})
 			synctest.Wait()
 			assert.Positive(t, l.DroppedLines())
 			close(out.unblock)
@@ -75,14 +75,14 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			go l.Run(ctx)
 			for range 20 {
-				l.Tell(Ended{Request: "good"})
-				l.Tell(Ended{Request: "bad", Cause: "no_route"})
+				l.Record(RequestEnded{Request: "good"})
+				l.Record(RequestEnded{Request: "bad", Cause: "no_route"})
 			}
 			synctest.Wait()
 			assert.Equal(t, 10, bytes.Count(out.Bytes(), []byte("request ended")))
 			assert.Equal(t, 5, bytes.Count(out.Bytes(), []byte(`"bad"`)))
 			require.NoError(t, clock.New().Sleep(ctx, clock.Second))
-			l.Tell(Process{What: "stopping"})
+			l.Record(Process{What: "stopping"})
 			synctest.Wait()
 			cancel()
 			synctest.Wait()
--- a/internal/experiment/day.go
+++ b/internal/experiment/day.go
@@ -116,13 +116,13 @@
 }
 
 func (d *day) addBox(domain string) {
-	steady := func() clock.Millis { return d.now }
+	monotonic := func() clock.Millis { return d.now }
 	noDial := func(context.Context, string, string) (net.Conn, error) { return nil, upstream.ErrUnreachable }
 	d.boxes = append(d.boxes, &box{domain: domain, told: map[*box]int64{}, Manager: balance.New(balance.Settings{
 		FailureDomain: domain, BoundPercent: boundPercent, PanicPercent: panicPercent,
 		Health: health.Limits{BaseMs: clock.Second, MaxMs: 8 * clock.Second},
-	}, steady, func(address string) *upstream.Client {
-		return upstream.New(address, steady, upstream.WithDial(noDial))
+	}, monotonic, func(address string) *upstream.Client {
+		return upstream.New(address, monotonic, upstream.WithDial(noDial))
 	}, d.random.IntN)})
 }
 
--- a/internal/experiment/request.go
+++ b/internal/experiment/request.go
@@ -9,7 +9,7 @@
 // request is one request's way through the engines.
 func (d *day) request(b *box) {
 	d.requests++
-	ask := balance.Ask{
+	ask := balance.PickRequest{
 		Pool: "p", Sticky: d.off != Sticky, Prompt: d.prompt(), Transfers: d.off != Fetch,
 	}
 	took, sent := clock.Millis(0), 0
--- a/internal/gateway/box.go
+++ b/internal/gateway/box.go
@@ -124,23 +124,23 @@
 	b.log = decision.New(decision.Settings{
 		MaxLinesPerSecond: settings.Lines.MaxPerSecond, MaxWaiting: logQueueSize,
 	}, b.clock, b.core)
-	b.routingState = routing.NewStateTracker(b.clock.Steady)
-	b.registry = registry.New(b.clock.Steady)
+	b.routingState = routing.NewStateTracker(b.clock.Monotonic)
+	b.registry = registry.New(b.clock.Monotonic)
 	b.balance = balance.New(balance.Settings{
 		FailureDomain: settings.FailureDomain, BoundPercent: settings.Balance.BoundPercent,
 		PanicPercent: settings.Balance.PanicPercent,
 		Health: health.Limits{
 			BaseMs: clock.Millis(settings.Balance.EjectBaseMs), MaxMs: clock.Millis(settings.Balance.EjectMaxMs),
 		},
-	}, b.clock.Steady, b.connect, rand.IntN)
+	}, b.clock.Monotonic, b.connect, rand.IntN)
 	b.registry.OnChange(func() { b.balance.SetUpstreams(b.registry.All()) })
 	usablePercent := settings.Budget.Ratio * percent * localBudgetShare
 	window := clock.Millis(settings.Budget.WindowS * float64(clock.Second))
 	b.budgets = retry.NewBudgets(int(usablePercent*sustainedShare), retryReserve(settings.Budget.Slack),
-		retry.WithBank(int(usablePercent*(1-sustainedShare)), window, b.clock.Steady))
+		retry.WithBank(int(usablePercent*(1-sustainedShare)), window, b.clock.Monotonic))
 	b.metrics.Publish("routing_state", func() any { return b.meshKnowledge() })
 	b.metrics.Publish("lines_dropped", func() any { return b.log.DroppedLines() })
-	b.quarantine = quarantine.New(b.clock.Steady, b.quarantineSettings, int64(b.clock.Now()))
+	b.quarantine = quarantine.New(b.clock.Monotonic, b.quarantineSettings, int64(b.clock.Now()))
 	b.metrics.Publish("quarantine", func() any { return b.quarantine.Sizes() })
 	b.metrics.Publish("upstreams_at_rest", func() any { return b.balance.BackingOff() })
 	b.pauseDetector = newPauseDetector(b)
@@ -157,7 +157,7 @@
 		k.Version = state.Version()
 	}
 	if confirmation, ok := b.routingState.Confirmed(); ok {
-		k.AgeMs, k.Era = b.clock.Steady()-confirmation.AtMs, confirmation.Era
+		k.AgeMs, k.Era = b.clock.Monotonic()-confirmation.AtMs, confirmation.Era
 	}
 	return k
 }
@@ -184,7 +184,7 @@
 	if b.dial != nil {
 		options = append(options, upstream.WithDial(b.dial))
 	}
-	return upstream.New(address, b.clock.Steady, options...)
+	return upstream.New(address, b.clock.Monotonic, options...)
 }
 
 func (b *Box) maxAgeMs() clock.Millis { return clock.Millis(b.settings.Load().Freshness.MaxAgeMs) }
@@ -226,7 +226,7 @@
 	}
 	b.goroutines.Go(func() { b.peering.mesh.Run(background) })
 	b.goroutines.Go(func() { b.peering.run(background) })
-	b.log.Tell(decision.Process{What: "started"})
+	b.log.Record(decision.Process{What: "started"})
 	b.goroutines.Go(func() { b.source.Run(background, b.sink.asSink()) })
 	b.goroutines.Go(func() { b.clock.Every(background, housekeepingIntervalMs, func(clock.Millis) { b.housekeeping() }) })
 	b.goroutines.Go(func() { b.watchPaths(background) })
@@ -238,7 +238,7 @@
 	case err = <-failed:
 	}
 	b.closeListeners()
-	b.log.Tell(decision.Process{What: "stopped", Note: errorText(err)})
+	b.log.Record(decision.Process{What: "stopped", Note: errorText(err)})
 	return err
 }
 
@@ -269,7 +269,7 @@
 func (b *Box) Reload(settings config.Gateway) {
 	withDefaults := defaults(settings)
 	b.settings.Store(&withDefaults)
-	b.log.Tell(decision.Process{What: "settings reloaded"})
+	b.log.Record(decision.Process{What: "settings reloaded"})
 }
 
 // Timing of a graceful shutdown.
@@ -283,13 +283,13 @@
 // stop shuts the box down gracefully. The box reports not ready and continues to serve requests until the front load
 // balancer has stopped sending new ones, then lets running requests finish.
 func (b *Box) stop(ctx context.Context) error {
-	startMs := b.clock.Steady()
+	startMs := b.clock.Monotonic()
 	b.stopping.Store(true)
-	b.log.Tell(decision.Process{What: "stopping"})
+	b.log.Record(decision.Process{What: "stopping"})
 	b.peering.mesh.BroadcastDraining()
 	_ = b.clock.Sleep(ctx, timingOf(b.Settings()).announceMs)
 	grace := shutdownGrace(b.Settings())
-	ctx, cancel := b.clock.WithTimeout(ctx, max(1, grace-exitReserveMs-(b.clock.Steady()-startMs)))
+	ctx, cancel := b.clock.WithTimeout(ctx, max(1, grace-exitReserveMs-(b.clock.Monotonic()-startMs)))
 	defer cancel()
 	errs := []error{}
 	for _, s := range b.servers {
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -106,7 +106,7 @@
 	abandoned := o.Evidence == dispatch.RequestAbandoned
 	if len(entry.list) < maxSuspectsPerUpstream {
 		entry.list = append(entry.list, suspect{
-			fingerprint: o.Fingerprint, upstream: o.Member.Identity(), atMs: d.box.clock.Steady(), abandoned: abandoned,
+			fingerprint: o.Fingerprint, upstream: o.Member.Identity(), atMs: d.box.clock.Monotonic(), abandoned: abandoned,
 		})
 	}
 	first := !entry.probing
@@ -123,7 +123,7 @@
 	for again := true; again; {
 		// If the context ends, the connection fails.
 		_ = d.box.clock.Sleep(ctx, wait)
-		startMs := d.box.clock.Steady()
+		startMs := d.box.clock.Monotonic()
 		found := member.Client().ProbeLiveness(ctx)
 		again = d.handleProbeResult(member.ID, found, startMs) && ctx.Err() == nil
 		if found == upstream.Dead || !d.box.registry.Has(member.Identity()) {
@@ -185,7 +185,7 @@
 		}
 	}
 	d.box.metrics.UpstreamCrashed()
-	d.box.log.Tell(decision.UpstreamCrashed{Upstream: list[0].upstream.Incarnation(), Fingerprints: fingerprints})
+	d.box.log.Record(decision.UpstreamCrashed{Upstream: list[0].upstream.Incarnation(), Fingerprints: fingerprints})
 	if quarantined {
 		d.box.peering.mesh.BroadcastCrashEvents()
 	}
@@ -194,7 +194,7 @@
 // removeSuspects removes and returns the suspects of all incarnations of an upstream except its successor. Of the
 // abandoned requests it returns only the newest, and only if the termination is recent.
 func (d *crashDetector) removeSuspects(id, successor string, recent bool) []suspect {
-	now := d.box.clock.Steady()
+	now := d.box.clock.Monotonic()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	entry := d.byID[id]
@@ -220,7 +220,7 @@
 // handleCompleted processes a complete response to a request with this fingerprint.
 func (d *crashDetector) handleCompleted(fingerprint quarantine.Fingerprint) {
 	if d.box.quarantine.RecordAnswer(fingerprint) {
-		d.box.log.Tell(decision.Quarantined{Fingerprint: fingerprint.String(), Source: "this box"})
+		d.box.log.Record(decision.Quarantined{Fingerprint: fingerprint.String(), Source: "this box"})
 	}
 }
 
@@ -234,7 +234,7 @@
 }
 
 func (d *crashDetector) logQuarantined(fingerprint quarantine.Fingerprint, source string) {
-	d.box.log.Tell(decision.Quarantined{
+	d.box.log.Record(decision.Quarantined{
 		Fingerprint: fingerprint.String(), Upstreams: d.box.quarantine.Settings().MinCrashes,
 		HoldMs: d.box.quarantine.QuarantineRemainingMs(fingerprint), Source: source,
 	})
@@ -242,7 +242,7 @@
 
 // expire removes suspects that are too old to be attributed to a crash.
 func (d *crashDetector) expire() {
-	oldest := d.box.clock.Steady() - suspectRetentionMs
+	oldest := d.box.clock.Monotonic() - suspectRetentionMs
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for upstream, entry := range d.byID {
--- a/internal/gateway/fatal_histories_test.go
+++ b/internal/gateway/fatal_histories_test.go
@@ -88,7 +88,7 @@
 	h.mu.Lock()
 	first := !h.poweredOff[host]
 	h.poweredOff[host] = h.poweredOff[host] || silent
-	now := f.clock.Steady()
+	now := f.clock.Monotonic()
 	h.sendsMs[body] = append(h.sendsMs[body], now)
 	if first {
 		h.crashesMs[body] = append(h.crashesMs[body], now)
--- a/internal/gateway/feedback.go
+++ b/internal/gateway/feedback.go
@@ -15,14 +15,14 @@
 	if feedback.Err != nil {
 		b.ReportInvalidInput("response headers of upstream "+lease.ID, feedback.Err)
 	}
-	event := decision.UpstreamSignaled{Upstream: lease.Incarnation(), Pool: lease.Pool, AnswerTo: request}
+	event := decision.UpstreamSignaled{Upstream: lease.Incarnation(), Pool: lease.Pool, Request: request}
 	if feedback.Draining && lease.MarkDraining() {
 		b.metrics.DrainingAnnounced()
-		b.log.Tell(event)
+		b.log.Record(event)
 	}
 	if feedback.BackoffMs > 0 && lease.BackOff(feedback.BackoffMs, request) {
 		b.metrics.RestRequested()
 		event.BackoffMs = feedback.BackoffMs
-		b.log.Tell(event)
+		b.log.Record(event)
 	}
 }
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -27,7 +27,7 @@
 func dialect() *opaque.Dialect {
 	return &opaque.Dialect{
 		RequestID: "X-Id", DeadlineMs: "X-Deadline", Organisation: "X-Organisation", ExpectUpstream: "X-Expect",
-		NotRun: "X-Not-Run", DecodeSignals: decodeSignals, ToBox: []string{"X-Load", "X-Not-Run"}, Urgency: "X-Urgency", Prompt: "X-Prompt", LastEventID: "Last-Event-Id",
+		NotRun: "X-Not-Run", DecodeSignals: decodeSignals, BoxResponseHeaders: []string{"X-Load", "X-Not-Run"}, Urgency: "X-Urgency", Prompt: "X-Prompt", LastEventID: "Last-Event-Id",
 		FetchFrom: "X-Fetch", Reserved: []string{"X-Reserved"},
 		Key:        func(h http.Header) string { return h.Get("Authorization") },
 		RetryAfter: func(span clock.Millis) string { return strconv.FormatInt(int64(span), 10) + "ms" },
@@ -58,14 +58,14 @@
 	network *testlib.Network
 	store   *store
 	clock   clock.Clock
-	// steadyOffsetMs and wallOffsetMs are the offsets of the boxes' steady clock and wall clock from the fake clock.
-	steadyOffsetMs, wallOffsetMs atomic.Int64
+	// monotonicOffsetMs and wallOffsetMs are the offsets of the boxes' monotonic clock and wall clock from the fake clock.
+	monotonicOffsetMs, wallOffsetMs atomic.Int64
 	// out receives the boxes' log lines.
 	out io.Writer
 }
 
-// advanceSteady advances the boxes' steady clock, but not the timers that wait on the fake clock.
-func (f *fleet) advanceSteady(span clock.Millis) { f.steadyOffsetMs.Add(int64(span)) }
+// advanceMonotonic advances the boxes' monotonic clock, but not the timers that wait on the fake clock.
+func (f *fleet) advanceMonotonic(span clock.Millis) { f.monotonicOffsetMs.Add(int64(span)) }
 
 // stepWallClock steps the boxes' wall clock.
 func (f *fleet) stepWallClock(span clock.Millis) { f.wallOffsetMs.Add(int64(span)) }
@@ -89,7 +89,7 @@
 	f := &fleet{t: t, network: testlib.NewNetwork(), store: newStore(), out: io.Discard}
 	base := clock.New()
 	f.clock = clock.New(
-		clock.WithSteady(func() clock.Millis { return base.Steady() + clock.Millis(f.steadyOffsetMs.Load()) }),
+		clock.WithMonotonic(func() clock.Millis { return base.Monotonic() + clock.Millis(f.monotonicOffsetMs.Load()) }),
 		clock.WithNow(func() clock.Millis { return base.Now() + clock.Millis(f.wallOffsetMs.Load()) }),
 	)
 	f.store.setState(t, content(1))
--- a/internal/gateway/ignored_inputs.go
+++ b/internal/gateway/ignored_inputs.go
@@ -28,13 +28,13 @@
 func (b *Box) ReportInvalidInput(input string, err error) {
 	b.metrics.InputIgnored()
 	if b.ignoredInputs.shouldLog(input) {
-		b.log.Tell(decision.InputIgnored{Input: input, Err: err.Error()})
+		b.log.Record(decision.InputIgnored{Input: input, Err: err.Error()})
 	}
 }
 
 // shouldLog reports whether an error of this input is to be logged now.
 func (l *ignoredInputLog) shouldLog(input string) bool {
-	now := l.box.clock.Steady()
+	now := l.box.clock.Monotonic()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if at, known := l.lastLogged[input]; known && now-at < relogIntervalMs {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -128,8 +128,8 @@
 			revoked.Organisations = []routing.Organisation{{Name: "other", Keys: []string{"other"}}}
 			f.store.setUnavailable("box-1", true)
 			f.store.setState(t, revoked)
-			// A box that was paused sees its steady clock jump forward.
-			f.advanceSteady(maxAgeMs)
+			// A box that was paused sees its monotonic clock jump forward.
+			f.advanceMonotonic(maxAgeMs)
 			assertStatus(t, b, "/safe/", http.StatusServiceUnavailable)
 			f.store.setUnavailable("box-1", false)
 			advance(t, time.Second)
--- a/internal/gateway/notes_sync.go
+++ b/internal/gateway/notes_sync.go
@@ -15,10 +15,10 @@
 // Notes gives access to the notes in the store: small records that boxes write for boxes that start later or that
 // they can't reach.
 type Notes struct {
-	// Keep writes a note under a name; an empty note deletes it.
-	Keep func(ctx context.Context, name string, note []byte) error
-	// All returns all notes by their names, and the era of the store that holds them.
-	All func(ctx context.Context) (notes map[string][]byte, era int64, err error)
+	// Put writes a note under a name; an empty note deletes it.
+	Put func(ctx context.Context, name string, note []byte) error
+	// List returns all notes by their names, and the era of the store that holds them.
+	List func(ctx context.Context) (notes map[string][]byte, era int64, err error)
 	// Era returns the newest era of the store that was observed. A change of era means that notes may be lost.
 	Era func() int64
 }
@@ -97,7 +97,7 @@
 // syncNotes synchronises the notes with the store until the context ends.
 func (b *Box) syncNotes(ctx context.Context) {
 	n := &noteSyncer{box: b, notes: b.source.Notes, written: map[string]int{}}
-	if n.notes.Keep == nil {
+	if n.notes.Put == nil {
 		return
 	}
 	for ctx.Err() == nil {
@@ -128,7 +128,7 @@
 const maxDoublings = 8
 
 func (n *noteSyncer) readIfDue(ctx context.Context) error {
-	now := n.box.clock.Steady()
+	now := n.box.clock.Monotonic()
 	if n.read && n.notes.Era() != n.era {
 		// Notes written after the store's snapshot was taken are written again.
 		n.read = false
@@ -138,7 +138,7 @@
 	if n.read && !reread {
 		return nil
 	}
-	all, era, err := n.notes.All(ctx)
+	all, era, err := n.notes.List(ctx)
 	if err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 		if fingerprint := name[:min(len(name), fingerprintDigits)]; known[fingerprint] {
 			continue
 		}
-		if err := n.notes.Keep(ctx, name, nil); err != nil {
+		if err := n.notes.Put(ctx, name, nil); err != nil {
 			return err
 		}
 		delete(n.written, name)
@@ -220,7 +220,7 @@
 	data, _ := json.Marshal(suspectNote{
 		Fingerprint: s.Fingerprint, Upstreams: s.Upstreams, CrashedMs: n.box.clock.Now() - s.AgeMs,
 	})
-	if err := n.notes.Keep(ctx, name, data); err != nil {
+	if err := n.notes.Put(ctx, name, data); err != nil {
 		return err
 	}
 	n.written[name] = len(s.Upstreams)
--- a/internal/gateway/paths.go
+++ b/internal/gateway/paths.go
@@ -22,11 +22,11 @@
 func (b *Box) watchPaths(ctx context.Context) {
 	var probing sync.WaitGroup
 	defer probing.Wait()
-	lastMs := b.clock.Steady()
+	lastMs := b.clock.Monotonic()
 	b.clock.Every(ctx, pathCheckIntervalMs, func(clock.Millis) {
 		b.pauseDetector.check()
 		b.pauseDetector.pingIfStale()
-		now := b.clock.Steady()
+		now := b.clock.Monotonic()
 		stalled := now-lastMs > pathCheckIntervalMs+stallThresholdMs
 		lastMs = now
 		for _, probe := range b.balance.Probes(b.peering.mesh.DomainPingIntervals(), stalled) {
@@ -37,15 +37,15 @@
 
 // probe checks whether connections to a failure domain open, and logs a change.
 func (b *Box) probe(ctx context.Context, probe balance.Probe) {
-	startMs := b.clock.Steady()
+	startMs := b.clock.Monotonic()
 	reachable := anyReachable(ctx, probe.Clients)
-	if !reachable && b.clock.Steady()-startMs > upstream.HostReachableTimeoutMs+stallThresholdMs {
+	if !reachable && b.clock.Monotonic()-startMs > upstream.HostReachableTimeoutMs+stallThresholdMs {
 		// This process stalled during the probe, so its timeouts prove nothing.
 		reachable = anyReachable(ctx, probe.Clients)
 	}
 	if downMs, changed := b.balance.RecordProbe(probe.FailureDomain, reachable); changed {
-		b.log.Tell(decision.Dependency{
-			Dependency: "path to a failure domain", ID: probe.FailureDomain, Lost: !reachable, AwayMs: downMs,
+		b.log.Record(decision.Dependency{
+			Dependency: "path to a failure domain", ID: probe.FailureDomain, Lost: !reachable, UnavailableMs: downMs,
 		})
 	}
 }
--- a/internal/gateway/pause_detector.go
+++ b/internal/gateway/pause_detector.go
@@ -33,7 +33,7 @@
 
 func newPauseDetector(b *Box) *pauseDetector {
 	p := &pauseDetector{box: b}
-	p.lastCheckMs.Store(int64(b.clock.Steady()))
+	p.lastCheckMs.Store(int64(b.clock.Monotonic()))
 	return p
 }
 
@@ -41,7 +41,7 @@
 // silence of other boxes during the pause is not counted against them. Shorter delays are not corrected: on a machine
 // that is slow all the time, boxes that have left would otherwise never expire (TestSlowBox).
 func (p *pauseDetector) check() {
-	now := p.box.clock.Steady()
+	now := p.box.clock.Monotonic()
 	pause := now - clock.Millis(p.lastCheckMs.Swap(int64(now)))
 	if pause <= pauseThresholdMs {
 		return
@@ -53,7 +53,7 @@
 
 // awaitRefresh waits after a pause until the box has refreshed its state, for at most maxRefreshWaitMs.
 func (p *pauseDetector) awaitRefresh(ctx context.Context) {
-	if p.box.clock.Steady()-clock.Millis(p.lastCheckMs.Load()) > pauseThresholdMs {
+	if p.box.clock.Monotonic()-clock.Millis(p.lastCheckMs.Load()) > pauseThresholdMs {
 		p.check()
 	}
 	for p.needsRefresh() && ctx.Err() == nil {
@@ -66,7 +66,7 @@
 // refreshed its state since.
 func (p *pauseDetector) needsRefresh() bool {
 	resumedMs := clock.Millis(p.resumedMs.Load())
-	if resumedMs == 0 || p.box.clock.Steady()-resumedMs >= maxRefreshWaitMs {
+	if resumedMs == 0 || p.box.clock.Monotonic()-resumedMs >= maxRefreshWaitMs {
 		return false
 	}
 	return p.box.routingState.AgeMs() > p.box.peering.directReadAgeMs() && !p.box.refreshedSince(resumedMs)
@@ -93,10 +93,10 @@
 func (b *Box) checkBeforeSend(r *opaque.Request) error {
 	b.pauseDetector.awaitRefresh(r.Context())
 	if err := r.Context().Err(); err != nil {
-		return opaque.NewRefusal(opaque.StatusCallerGone, opaque.CallerGone, 0, err)
+		return opaque.NewRefusal(opaque.StatusCallerDisconnected, opaque.CallerDisconnected, 0, err)
 	}
-	if r.RemainingMs(b.clock.Steady()) <= 0 {
-		return opaque.NewRefusal(opaque.NotRunStatus, opaque.TimeOver, 0, nil)
+	if r.RemainingMs(b.clock.Monotonic()) <= 0 {
+		return opaque.NewRefusal(opaque.NotRunStatus, opaque.DeadlineExceededBeforeSend, 0, nil)
 	}
 	return b.steps.authorise.Recheck(r)
 }
--- a/internal/gateway/peering.go
+++ b/internal/gateway/peering.go
@@ -47,7 +47,7 @@
 	}
 	p := &peering{
 		box: b, client: relay.NewClient(b.dial),
-		peerStates: make(chan mesh.PeerState, answerQueueSize), startedMs: b.clock.Steady(),
+		peerStates: make(chan mesh.PeerState, answerQueueSize), startedMs: b.clock.Monotonic(),
 	}
 	p.mesh = mesh.New(mesh.Dependencies{
 		Self: mesh.Identity{
@@ -114,7 +114,7 @@
 	p.box.registry.Confirm(a.StateSummary.Position)
 	if a.StateSummary.Version > local.Version || local.Position.Before(a.StateSummary.Position) {
 		if err := p.fetch(ctx, a.From, local); err != nil {
-			p.box.log.Tell(decision.InputIgnored{Input: "news of box " + a.From.Box, Err: err.Error()})
+			p.box.log.Record(decision.InputIgnored{Input: "news of box " + a.From.Box, Err: err.Error()})
 			return
 		}
 	}
@@ -131,7 +131,7 @@
 
 // inInitialRead reports whether the box may still be in its first read of the store, which has not failed.
 func (p *peering) inInitialRead() bool {
-	return !p.box.storeLost.Load() && p.box.clock.Steady()-p.startedMs < initialReadMs
+	return !p.box.storeLost.Load() && p.box.clock.Monotonic()-p.startedMs < initialReadMs
 }
 
 func (p *peering) fetch(ctx context.Context, from mesh.Identity, local mesh.StateSummary) error {
@@ -161,7 +161,7 @@
 	if !wasRead && (p.box.routingState.State() == nil || !p.box.registry.Synced()) {
 		return true
 	}
-	if p.box.clock.Steady()-p.startedMs < startupSettleMs {
+	if p.box.clock.Monotonic()-p.startedMs < startupSettleMs {
 		return false
 	}
 	return p.box.routingState.AgeMs() > p.directReadAgeMs() || p.mesh.IsStoreReader()
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -92,13 +92,13 @@
 func (a *crashRecorder) recordSend() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.sendsMs = append(a.sendsMs, a.fleet.clock.Steady())
+	a.sendsMs = append(a.sendsMs, a.fleet.clock.Monotonic())
 }
 
 // crash stops an upstream and restarts it later.
 func (a *crashRecorder) crash(server *http.Server, slot int, id string) {
 	a.mu.Lock()
-	a.crashesMs = append(a.crashesMs, a.fleet.clock.Steady())
+	a.crashesMs = append(a.crashesMs, a.fleet.clock.Monotonic())
 	a.mu.Unlock()
 	_ = server.Close()
 	if a.fleet.clock.Sleep(a.fleet.t.Context(), restartDelayMs) != nil {
--- a/internal/gateway/ready.go
+++ b/internal/gateway/ready.go
@@ -20,7 +20,7 @@
 	if b.isSynced() {
 		return b.routingState.State()
 	}
-	if b.clock.Steady()-b.peering.startedMs >= startupWaitMs {
+	if b.clock.Monotonic()-b.peering.startedMs >= startupWaitMs {
 		return b.routingState.State()
 	}
 	ctx, cancel := context.WithTimeout(ctx, startupWaitMs.Duration())
--- a/internal/gateway/rest_test.go
+++ b/internal/gateway/rest_test.go
@@ -82,7 +82,7 @@
 
 // serve records a request to an upstream and responds with the upstream's feedback.
 func (a *feedbackUpstreams) serve(id string, w http.ResponseWriter, r *http.Request) {
-	now := a.fleet.clock.Steady()
+	now := a.fleet.clock.Monotonic()
 	at := boxUpstream{box: r.Header.Get("X-Box"), upstream: id}
 	a.mu.Lock()
 	a.arrivals[at] = append(a.arrivals[at], now)
@@ -196,7 +196,7 @@
 func (a *feedbackUpstreams) sendOne(b *running, l loadProfile, number int) outcome {
 	f := a.fleet
 	// The shift after every seventh request makes each box receive each path.
-	o := outcome{path: l.paths[(number+number/7)%len(l.paths)], sentMs: f.clock.Steady()}
+	o := outcome{path: l.paths[(number+number/7)%len(l.paths)], sentMs: f.clock.Monotonic()}
 	response, err := b.send(f.t.Context(), call{
 		method: http.MethodGet, path: o.path, id: strconv.Itoa(number), key: key, header: http.Header{
 			"X-Box": {b.settings.Box}, "X-Prompt": {fmt.Sprintf("a:900,s%d:30", number%l.sessions)},
@@ -204,7 +204,7 @@
 	})
 	require.NoError(f.t, err)
 	defer func() { _ = response.Body.Close() }()
-	o.status, o.tookMs = response.StatusCode, f.clock.Steady()-o.sentMs
+	o.status, o.tookMs = response.StatusCode, f.clock.Monotonic()-o.sentMs
 	retryAfter, err := time.ParseDuration(response.Header.Get("Retry-After"))
 	o.retryAfterMs, o.upstreamRetryAfter = clock.Millis(retryAfter.Milliseconds()), o.status != http.StatusOK && err != nil
 	return o
@@ -240,7 +240,7 @@
 	t.Run("half of the upstreams refuse most requests", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			a := newFeedbackUpstreams(f, 1)
-			startMs := f.clock.Steady()
+			startMs := f.clock.Monotonic()
 			a.feedback = func(id string, now clock.Millis) (clock.Millis, bool) {
 				if refusing(id, now, startMs, 6) && a.random.IntN(3) > 0 {
 					return a.randomSpan(1000, 4000), false
@@ -252,13 +252,13 @@
 			a.assertRestsRespected()
 			assert.GreaterOrEqual(f.t, servedShare(outcomes), 0.975)
 			assert.Zero(f.t, countOutcomes(outcomes, func(o outcome) bool { return o.upstreamRetryAfter }), "an upstream's Retry-After was passed on")
-			assert.Equal(f.t, 12, a.usedSince(f.clock.Steady()-2000), "all take part again")
+			assert.Equal(f.t, 12, a.usedSince(f.clock.Monotonic()-2000), "all take part again")
 		})
 	})
 	t.Run("if all upstreams rest, callers are refused immediately with the time of the first available one", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			a := newFeedbackUpstreams(f, 2)
-			startMs := f.clock.Steady()
+			startMs := f.clock.Monotonic()
 			a.feedback = func(id string, now clock.Millis) (clock.Millis, bool) {
 				if refusing(id, now, startMs, 12) {
 					return startMs + overloadEndMs - now, false
@@ -275,7 +275,7 @@
 	t.Run("the longest rest period counts, despite edits, an expired entry and a suspension", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			a := newFeedbackUpstreams(f, 3)
-			startMs, asked := f.clock.Steady(), 0
+			startMs, asked := f.clock.Monotonic(), 0
 			a.feedback = func(id string, now clock.Millis) (clock.Millis, bool) {
 				if id != "u0" || now >= startMs+12_000 {
 					return 0, false
@@ -294,7 +294,7 @@
 				},
 				4: func() {
 					f.store.put(entry)
-					f.advanceSteady(500)
+					f.advanceMonotonic(500)
 				},
 			}})
 			a.assertRestsRespected()
@@ -333,7 +333,7 @@
 		t.Helper()
 		runWithFleet(t, func(f *fleet) {
 			a := newFeedbackUpstreams(f, 4)
-			startMs := f.clock.Steady()
+			startMs := f.clock.Monotonic()
 			a.feedback = func(id string, now clock.Millis) (clock.Millis, bool) {
 				number, _ := strconv.Atoi(id[1:])
 				return 0, number < 4 && now >= startMs+4000
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -10,7 +10,7 @@
 	"dooryard.example/dooryard/internal/routing"
 )
 
-// Sink receives what a source of routing state reads. Durations and instants are those of the steady clock.
+// Sink receives what a source of routing state reads. Durations and instants are those of the monotonic clock.
 type Sink struct {
 	// ShouldRead reports whether the source should read a stream now. It need not if other boxes read for this one.
 	ShouldRead func(stream string) bool
@@ -98,7 +98,7 @@
 	}
 	// A box whose reads were refused retries from time to time, even if it needs nothing.
 	_, lost := s.lostSince[stream]
-	return needed || lost && s.box.clock.Steady()-s.lastFailureMs >= lostStoreRetryMs
+	return needed || lost && s.box.clock.Monotonic()-s.lastFailureMs >= lostStoreRetryMs
 }
 
 func (s *storeSink) observeEra(era int64) { s.box.observeEra(era, s.source) }
@@ -144,12 +144,12 @@
 	if recoveredMs == 0 {
 		return 0
 	}
-	return max(0, min(removalGraceMs, recoveredMs+recoveryGraceMs-s.box.clock.Steady()))
+	return max(0, min(removalGraceMs, recoveredMs+recoveryGraceMs-s.box.clock.Monotonic()))
 }
 
 // reportRead records and logs the loss and the recovery of a stream of the store.
 func (s *storeSink) reportRead(stream string, err error) {
-	now := s.box.clock.Steady()
+	now := s.box.clock.Monotonic()
 	s.mu.Lock()
 	if err != nil {
 		s.lastFailureMs = now
@@ -165,14 +165,14 @@
 	case err == nil && wasLost:
 		delete(s.lostSince, stream)
 		s.recoveredMs = now
-		event.AwayMs = now - since
+		event.UnavailableMs = now - since
 	default:
 		s.mu.Unlock()
 		return
 	}
 	s.box.storeLost.Store(len(s.lostSince) > 0)
 	s.mu.Unlock()
-	s.box.log.Tell(event)
+	s.box.log.Record(event)
 }
 
 // adopt applies a routing state if it is newer, logs it and notifies the other boxes.
@@ -180,7 +180,7 @@
 	if !b.routingState.Adopt(state, era) {
 		return
 	}
-	b.log.Tell(decision.StateAdopted{Version: state.Version(), Source: source, Routes: state.RouteCount()})
+	b.log.Record(decision.StateAdopted{Version: state.Version(), Source: source, Routes: state.RouteCount()})
 	b.updateSynced()
 	b.peering.mesh.Broadcast()
 }
@@ -188,7 +188,7 @@
 // announceUpstreams logs effective changes of the upstreams and notifies the other boxes.
 func (b *Box) announceUpstreams(changes []registry.Change, source string) {
 	for _, c := range changes {
-		b.log.Tell(decision.UpstreamChanged{
+		b.log.Record(decision.UpstreamChanged{
 			Upstream: c.Upstream.ID, Pool: c.Upstream.Pool, Address: c.Upstream.Address,
 			State: upstreamState(c), Source: source,
 		})
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -49,15 +49,15 @@
 	b.steps = &steps{
 		match:     match.New(b.awaitState, b.stateMayBeOutdated),
 		authorise: authorise.New(b.routingState.AgeMs, b.maxAgeMs, b.stateMayBeOutdated),
-		receive:   receive.New(b.bodyMemory(), b.clock.Steady),
+		receive:   receive.New(b.bodyMemory(), b.clock.Monotonic),
 		screen:    screen.New(b.quarantine.QuarantineRemainingMs),
 		dispatch: dispatch.New(dispatch.Dependencies{
 			Pick: b.pick, MayRetry: b.budgets.Take, OnFirstSend: b.budgets.First,
-			AgeMs: b.routingState.AgeMs, Tell: b.log.Tell, OnPrefill: b.metrics.PromptTokensRead,
+			StateAgeMs: b.routingState.AgeMs, RecordEvent: b.log.Record, OnPrefill: b.metrics.PromptTokensRead,
 			RetryAfter: b.balance.RetryAfterMs, OnSignals: b.handleSignals, Observe: b.crashDetector.observe,
 			OnCompleted: b.crashDetector.handleCompleted, QuarantineRemainingMs: b.quarantine.QuarantineRemainingMs, CheckBeforeSend: b.checkBeforeSend, Clock: b.clock,
 		}),
-		record: record.New(b.log.Tell, b.metrics.RequestEnded, b.routingState.AgeMs, b.clock.Steady),
+		record: record.New(b.log.Record, b.metrics.RequestEnded, b.routingState.AgeMs, b.clock.Monotonic),
 	}
 }
 
@@ -65,7 +65,7 @@
 func (b *Box) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
 	r := &opaque.Request{
 		ID: hr.Header.Get(b.dialect.RequestID), HTTP: hr, Writer: exchange.NewWriter(w), Dialect: b.dialect,
-		ArrivedMs: b.clock.Steady(),
+		ArrivedMs: b.clock.Monotonic(),
 	}
 	if b.stopping.Load() {
 		w.Header().Set("Connection", "close")
@@ -100,19 +100,19 @@
 	switch {
 	case errors.Is(err, opaque.ErrAnswered) || abortsConnection(err):
 	case errors.As(err, &refusal):
-		if r.Body == nil && refusal.Cause != opaque.BodyLate {
+		if r.Body == nil && refusal.Cause != opaque.BodyTimeout {
 			// The server reads the rest of a short body before it responds.
 			r.Writer.BoundRead(unreadBodyMs.Duration())
 		}
 		refusal.Write(r)
 	default:
-		b.log.Tell(decision.InputIgnored{Input: "request " + r.ID, Err: err.Error()})
-		opaque.NewRefusal(http.StatusBadGateway, opaque.UpstreamLost, 0, err).Write(r)
+		b.log.Record(decision.InputIgnored{Input: "request " + r.ID, Err: err.Error()})
+		opaque.NewRefusal(http.StatusBadGateway, opaque.ResponseLost, 0, err).Write(r)
 	}
 }
 
 // abortsConnection reports whether the caller's connection must be closed without a complete response.
 func abortsConnection(err error) bool {
 	var refusal *opaque.RefusalError
-	return errors.Is(err, opaque.ErrCut) || errors.As(err, &refusal) && refusal.Cause == opaque.CallerGone
+	return errors.Is(err, opaque.ErrTruncated) || errors.As(err, &refusal) && refusal.Cause == opaque.CallerDisconnected
 }
--- a/internal/gateway/store_era.go
+++ b/internal/gateway/store_era.go
@@ -12,9 +12,9 @@
 	if !restored {
 		return
 	}
-	b.storeRestoredMs.Store(int64(b.clock.Steady()))
+	b.storeRestoredMs.Store(int64(b.clock.Monotonic()))
 	b.metrics.StoreRestored()
-	b.log.Tell(decision.StoreRestored{
+	b.log.Record(decision.StoreRestored{
 		Before: before, Era: era, Source: source, Position: b.registry.Position(), Version: b.meshKnowledge().Version,
 	})
 }
--- a/internal/gateway/store_test.go
+++ b/internal/gateway/store_test.go
@@ -132,11 +132,11 @@
 
 func (s *store) source(box string, c clock.Clock) Source {
 	return Source{Name: "store", Notes: s.notesFor(box), Run: func(ctx context.Context, sink Sink) {
-		nextMs := c.Steady()
+		nextMs := c.Monotonic()
 		check := func(clock.Millis) {
-			if c.Steady() >= nextMs && sink.ShouldRead("all") {
+			if c.Monotonic() >= nextMs && sink.ShouldRead("all") {
 				s.poll(ctx, box, c, sink)
-				nextMs = c.Steady() + pollMs
+				nextMs = c.Monotonic() + pollMs
 			}
 		}
 		check(nextMs)
@@ -147,7 +147,7 @@
 // notesFor returns the access of a box to the notes.
 func (s *store) notesFor(box string) Notes {
 	return Notes{
-		Keep: func(_ context.Context, name string, note []byte) error {
+		Put: func(_ context.Context, name string, note []byte) error {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if s.unavailable[box] || s.unresponsive[box] {
@@ -164,7 +164,7 @@
 			defer s.mu.Unlock()
 			return s.era
 		},
-		All: func(context.Context) (map[string][]byte, int64, error) {
+		List: func(context.Context) (map[string][]byte, int64, error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if s.unavailable[box] || s.unresponsive[box] {
@@ -182,7 +182,7 @@
 	unresponsive, readDelayMs := s.unresponsive[box], s.readDelayMs
 	s.reads[box]++
 	s.mu.Unlock()
-	sentMs := c.Steady()
+	sentMs := c.Monotonic()
 	if readDelayMs > 0 {
 		// The next poll handles the end of the context.
 		_ = c.Sleep(ctx, readDelayMs)
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -81,7 +81,7 @@
 			status := b.sendGatedBody("/unsafe/", body)
 			advance(f.t, 100*time.Millisecond)
 			f.store.setUnavailable("box-1", true)
-			f.advanceSteady(trustedMs)
+			f.advanceMonotonic(trustedMs)
 			close(body.gate)
 			assert.Equal(f.t, http.StatusServiceUnavailable, <-status)
 			assert.Zero(f.t, arrivals.Load())
@@ -96,7 +96,7 @@
 			body := &gatedBody{gate: make(chan struct{})}
 			status := b.sendGatedBody("/unsafe/", body)
 			advance(f.t, 100*time.Millisecond)
-			f.advanceSteady(suspendedMs)
+			f.advanceMonotonic(suspendedMs)
 			close(body.gate)
 			assert.Contains(f.t, []int{http.StatusGatewayTimeout, http.StatusServiceUnavailable, http.StatusRequestTimeout}, <-status)
 			assert.Zero(f.t, arrivals.Load())
@@ -113,7 +113,7 @@
 				ended <- status
 			}()
 			advance(f.t, 500*time.Millisecond)
-			f.advanceSteady(suspendedMs)
+			f.advanceMonotonic(suspendedMs)
 			advance(f.t, 200*time.Millisecond)
 			select {
 			case status := <-ended:
@@ -131,7 +131,7 @@
 			b := f.box(1)
 			advance(f.t, time.Second)
 			f.setDraining("u1")
-			f.advanceSteady(suspendedMs)
+			f.advanceMonotonic(suspendedMs)
 			status, _, err := b.get("/safe/")
 			require.NoError(f.t, err)
 			assert.Equal(f.t, http.StatusOK, status)
@@ -146,7 +146,7 @@
 			leave()
 			var refusal *opaque.RefusalError
 			require.ErrorAs(f.t, b.checkBeforeSend(request), &refusal)
-			assert.Equal(f.t, opaque.CallerGone, refusal.Cause)
+			assert.Equal(f.t, opaque.CallerDisconnected, refusal.Cause)
 		})
 	})
 	t.Run("requests wait only briefly if no refresh succeeds", func(t *testing.T) {
@@ -155,19 +155,19 @@
 			b := f.box(1, func(g *config.Gateway) { g.Freshness.MaxAgeMs = 0 })
 			advance(f.t, time.Second)
 			f.store.setUnavailable("box-1", true)
-			f.advanceSteady(suspendedMs)
-			began := clock.New().Steady()
+			f.advanceMonotonic(suspendedMs)
+			began := clock.New().Monotonic()
 			status, _, err := b.get("/safe/")
 			require.NoError(f.t, err)
 			assert.Equal(f.t, http.StatusOK, status)
-			assert.LessOrEqual(f.t, clock.New().Steady()-began, clock.Millis(500))
+			assert.LessOrEqual(f.t, clock.New().Monotonic()-began, clock.Millis(500))
 		})
 	})
 	t.Run("the other boxes still count, so that the retry slack stays shared", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			boxes := f.boxes(5)
 			advance(f.t, 3100*time.Millisecond)
-			f.advanceSteady(suspendedMs)
+			f.advanceMonotonic(suspendedMs)
 			for range 20 {
 				advance(f.t, 50*time.Millisecond)
 				// Lets everything else that is due at this instant run first.
@@ -188,7 +188,7 @@
 		advance(f.t, 2*time.Second)
 		f.network.SetCut(func(from, to string) bool { return from != to && isBox(from) && isBox(to) })
 		for range 100 {
-			f.advanceSteady(200)
+			f.advanceMonotonic(200)
 			advance(f.t, 50*time.Millisecond)
 		}
 		synctest.Wait()
@@ -208,7 +208,7 @@
 		b := f.box(1)
 		advance(f.t, time.Second)
 		f.store.put(registry.Upstream{ID: "left", Pool: "p", Address: "127.0.0.1:1", FailureDomain: "d", Slots: 8, Draining: true})
-		f.advanceSteady(suspendedMs)
+		f.advanceMonotonic(suspendedMs)
 		for i := range 20 {
 			response, err := b.send(context.Background(), call{
 				method: http.MethodGet, path: "/sticky/", id: "1", key: key, header: http.Header{"X-Prompt": {"s" + strconv.Itoa(i) + ":100"}},
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -138,7 +138,7 @@
 func New(d Dependencies) *Mesh {
 	return &Mesh{
 		self: d.Self, clock: d.Clock, period: d.PeriodMs, conn: d.Conn, contacts: d.Contacts, stateSummary: d.StateSummary,
-		inFlight: d.InFlight, inFlightByPool: d.InFlightByPool, ledger: occupancy.New(d.Clock.Steady),
+		inFlight: d.InFlight, inFlightByPool: d.InFlightByPool, ledger: occupancy.New(d.Clock.Monotonic),
 		announcementsSince: d.AnnouncementsSince, recordAnnouncements: d.RecordAnnouncements,
 		crashEventsSince: d.CrashEventsSince, recordCrashEvents: d.RecordCrashEvents, onPeerState: d.OnPeerState,
 		random: d.Random, peers: map[string]*peer{},
@@ -227,7 +227,7 @@
 
 // round pings the store reader of the failure domain and a few other boxes.
 func (m *Mesh) round() {
-	now := m.clock.Steady()
+	now := m.clock.Monotonic()
 	p := m.packet(typePing, now)
 	for _, target := range m.targets(now) {
 		m.recordPing(target.box)
@@ -265,7 +265,7 @@
 	out := *p
 	receiver := m.peers[box]
 	switch {
-	case receiver == nil || m.clock.Steady()-receiver.firstSeenMs < newPeerMs:
+	case receiver == nil || m.clock.Monotonic()-receiver.firstSeenMs < newPeerMs:
 		out.Known = m.samplePeersLocked(newPeerSample)
 	case p.Type == typeReply:
 		if m.random.IntN(repliesPerSample) == 0 {
@@ -343,7 +343,7 @@
 
 func (m *Mesh) broadcast(to func(p *peer) bool) {
 	p := m.packet(typeUpdate, 0)
-	now := m.clock.Steady()
+	now := m.clock.Monotonic()
 	m.mu.Lock()
 	aliveTimeout := m.aliveTimeoutLocked()
 	targets := []target{}
@@ -375,7 +375,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return Sizes{
-		Boxes: 1 + m.aliveCountLocked(m.clock.Steady()), Ignored: m.ignored,
+		Boxes: 1 + m.aliveCountLocked(m.clock.Monotonic()), Ignored: m.ignored,
 		SendErrors: m.sendErrors, SentBytes: m.sentBytes,
 		Permits: m.ledger.Sizes(), PermitTimeouts: m.permitTimeouts,
 	}
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -36,7 +36,7 @@
 func newLedger() *quarantine.Ledger {
 	c := clock.New()
 	settings := quarantine.Settings{MinCrashes: 3, HoldMs: 600 * clock.Second}
-	return quarantine.New(c.Steady, func() quarantine.Settings { return settings }, int64(c.Now()))
+	return quarantine.New(c.Monotonic, func() quarantine.Settings { return settings }, int64(c.Now()))
 }
 
 // quarantining returns the number of boxes that quarantine a fingerprint.
@@ -202,7 +202,7 @@
 			}
 			advance(f.t, 6*time.Second)
 			asked := map[string]bool{}
-			for _, target := range first.targets(first.clock.Steady()) {
+			for _, target := range first.targets(first.clock.Monotonic()) {
 				asked[first.peers[target.box].FailureDomain] = true
 			}
 			assert.Equal(t, map[string]bool{"d1": true, "d2": true}, asked)
@@ -273,7 +273,7 @@
 			two.mu.Lock()
 			two.knowledge = StateSummary{Version: 7, AgeMs: 40}
 			two.mu.Unlock()
-			before := one.clock.Steady()
+			before := one.clock.Monotonic()
 			advance(f.t, time.Second)
 			one.mu.Lock()
 			defer one.mu.Unlock()
@@ -281,7 +281,7 @@
 			last := one.answers[len(one.answers)-1]
 			assert.Equal(t, StateSummary{Version: 7, AgeMs: 40}, last.StateSummary)
 			assert.GreaterOrEqual(t, last.PingedMs, before)
-			assert.LessOrEqual(t, last.PingedMs, one.clock.Steady())
+			assert.LessOrEqual(t, last.PingedMs, one.clock.Monotonic())
 		})
 	})
 	t.Run("a reply from an unknown box is ignored", func(t *testing.T) {
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -33,7 +33,7 @@
 
 // recordPeer stores the sender of a datagram and the boxes that it names.
 func (m *Mesh) recordPeer(p *packet) {
-	now := m.clock.Steady()
+	now := m.clock.Monotonic()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known := m.peers[p.From.Box]
@@ -121,7 +121,7 @@
 // It omits domains without a live box. It is empty in a large fleet, whose rounds reach only a few
 // boxes.
 func (m *Mesh) DomainPingIntervals() map[string]clock.Millis {
-	now := m.clock.Steady()
+	now := m.clock.Monotonic()
 	intervals := map[string]clock.Millis{}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -216,7 +216,7 @@
 	if m.largeLocked() {
 		known = m.sampleOwnersLocked((count + 1) / 2)
 	}
-	now, aliveTimeout := m.clock.Steady(), m.aliveTimeoutLocked()
+	now, aliveTimeout := m.clock.Monotonic(), m.aliveTimeoutLocked()
 	for _, p := range m.peers {
 		if len(known) == count {
 			break
@@ -241,7 +241,7 @@
 
 // OthersInFlight returns the requests in flight of the other boxes, by upstream.
 func (m *Mesh) OthersInFlight() map[namekey.Key]int {
-	now := m.clock.Steady()
+	now := m.clock.Monotonic()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sum := map[namekey.Key]int{}
@@ -286,7 +286,7 @@
 // boxes.
 func (m *Mesh) fleetInFlightByPoolLocked(own map[namekey.Key]int, window clock.Millis) map[namekey.Key]int {
 	sums := maps.Clone(own)
-	now := m.clock.Steady()
+	now := m.clock.Monotonic()
 	reporting, boxes := 1, 1
 	for _, p := range m.peers {
 		if !p.draining {
@@ -309,7 +309,7 @@
 // OthersInFlightAgeMs returns the average age of the counts that Others returns. In a large fleet boxes
 // don't exchange loads by upstream, so it returns the maximum age.
 func (m *Mesh) OthersInFlightAgeMs() clock.Millis {
-	now := m.clock.Steady()
+	now := m.clock.Monotonic()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	aliveTimeout := m.aliveTimeoutLocked()
@@ -338,7 +338,7 @@
 
 // HasMissingBox reports whether a recently live box is silent without having announced that it leaves.
 func (m *Mesh) HasMissingBox() bool {
-	now := m.clock.Steady()
+	now := m.clock.Monotonic()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	aliveTimeout := m.aliveTimeoutLocked()
@@ -354,7 +354,7 @@
 func (m *Mesh) Boxes() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return 1 + m.aliveCountLocked(m.clock.Steady())
+	return 1 + m.aliveCountLocked(m.clock.Monotonic())
 }
 
 // IsStoreReader reports whether this box, according to its own view, reads the store on behalf of its
@@ -362,7 +362,7 @@
 func (m *Mesh) IsStoreReader() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, reader := range m.storeReadersLocked(m.clock.Steady()) {
+	for _, reader := range m.storeReadersLocked(m.clock.Monotonic()) {
 		if reader.Box == m.self.Box {
 			return true
 		}
--- a/internal/mesh/slots.go
+++ b/internal/mesh/slots.go
@@ -172,7 +172,7 @@
 // includes boxes that were only named by others, because the views of different boxes differ less
 // then.
 func (m *Mesh) ownersLocked(failureDomain string) []hashedIdentity {
-	now, aliveTimeout := m.clock.Steady(), m.aliveTimeoutLocked()
+	now, aliveTimeout := m.clock.Monotonic(), m.aliveTimeoutLocked()
 	list := []hashedIdentity{}
 	if m.self.FailureDomain == failureDomain {
 		list = append(list, hashedIdentity{Identity: m.self, hash: route.HashName(m.self.Box)})
--- a/internal/occupancy/occupancy.go
+++ b/internal/occupancy/occupancy.go
@@ -28,7 +28,7 @@
 
 // Ledger counts permits. It is safe for concurrent use.
 type Ledger struct {
-	steady func() clock.Millis
+	monotonic func() clock.Millis
 
 	mu      sync.Mutex
 	permits map[PermitID]permit
@@ -36,8 +36,8 @@
 }
 
 // New returns an empty ledger.
-func New(steady func() clock.Millis) *Ledger {
-	return &Ledger{steady: steady, permits: map[PermitID]permit{}, counts: map[namekey.Key]int{}}
+func New(monotonic func() clock.Millis) *Ledger {
+	return &Ledger{monotonic: monotonic, permits: map[PermitID]permit{}, counts: map[namekey.Key]int{}}
 }
 
 // Acquire grants a permit at an upstream unless the bound is reached, and reports whether it did.
@@ -48,7 +48,7 @@
 	if l.counts[upstream] >= bound {
 		return false
 	}
-	l.permits[h] = permit{upstream: upstream, atMs: l.steady()}
+	l.permits[h] = permit{upstream: upstream, atMs: l.monotonic()}
 	l.counts[upstream]++
 	return true
 }
@@ -75,7 +75,7 @@
 func (l *Ledger) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	oldest := l.steady() - permitTTLMs
+	oldest := l.monotonic() - permitTTLMs
 	for h, p := range maps.Clone(l.permits) {
 		if p.atMs <= oldest {
 			l.remove(h)
--- a/internal/opaque/dialect.go
+++ b/internal/opaque/dialect.go
@@ -26,9 +26,9 @@
 	NotRun string
 	// DecodeSignals decodes the status that an upstream reports about itself in the header of a response.
 	DecodeSignals func(status int, header http.Header) Signals
-	// ToBox lists response headers that are addressed to the box and are not forwarded to the
+	// BoxResponseHeaders lists response headers that are addressed to the box and are not forwarded to the
 	// caller.
-	ToBox []string
+	BoxResponseHeaders []string
 	// Urgency carries the priority of a request at engines. 0 is the highest.
 	Urgency string
 	// Prompt carries the parts of a prompt as a comma-separated list of ID:TOKENS.
@@ -52,8 +52,8 @@
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// Forwarded returns the headers of a caller's request that are forwarded to the upstream.
-func (d *Dialect) Forwarded(header http.Header) http.Header {
+// RequestHeader returns the headers of a caller's request that are forwarded to the upstream.
+func (d *Dialect) RequestHeader(header http.Header) http.Header {
 	out := endToEndHeaders(header)
 	for _, name := range d.Reserved {
 		out.Del(name)
@@ -68,10 +68,10 @@
 	return out
 }
 
-// Returned returns the headers of an upstream's response that are forwarded to the caller.
-func (d *Dialect) Returned(header http.Header) http.Header {
+// ResponseHeader returns the headers of an upstream's response that are forwarded to the caller.
+func (d *Dialect) ResponseHeader(header http.Header) http.Header {
 	out := endToEndHeaders(header)
-	for _, name := range d.ToBox {
+	for _, name := range d.BoxResponseHeaders {
 		out.Del(name)
 	}
 	return out
--- a/internal/opaque/request.go
+++ b/internal/opaque/request.go
@@ -49,8 +49,8 @@
 // Context returns a context that is canceled when the caller disconnects.
 func (r *Request) Context() context.Context { return r.HTTP.Context() }
 
-// NoteFingerprint computes the fingerprint from the parts of the request that were read.
-func (r *Request) NoteFingerprint() {
+// ComputeFingerprint computes the fingerprint from the parts of the request that were read.
+func (r *Request) ComputeFingerprint() {
 	request := quarantine.Request{
 		Method: r.HTTP.Method, Host: r.HTTP.Host, Target: r.HTTP.RequestURI, Body: r.Body,
 	}
--- a/internal/pipe/dispatch/attempt.go
+++ b/internal/pipe/dispatch/attempt.go
@@ -34,7 +34,7 @@
 // response.
 func (s *retryLoop) attempt(lease *balance.Lease) *failure {
 	s.attempts++
-	s.attemptStartedMs = s.pipe.deps.Clock.Steady()
+	s.attemptStartedMs = s.pipe.deps.Clock.Monotonic()
 	s.signals = opaque.Signals{}
 	s.request.Upstream = lease.ID
 	s.logPicked(lease)
@@ -143,8 +143,8 @@
 	if lease.Prefill.Tokens > 0 {
 		s.pipe.deps.OnPrefill(string(lease.Prefill.Reason), lease.Prefill.Tokens)
 	}
-	s.pipe.deps.Tell(decision.Picked{
-		Request: r.ID, Route: r.Route.Name, Pool: r.Pool, Version: r.State.Version(), AgeMs: s.pipe.deps.AgeMs(),
+	s.pipe.deps.RecordEvent(decision.UpstreamPicked{
+		Request: r.ID, Route: r.Route.Name, Pool: r.Pool, Version: r.State.Version(), AgeMs: s.pipe.deps.StateAgeMs(),
 		Upstream: lease.ID, Attempt: s.attempts, Rank: lease.Rank, Load: lease.Load,
 		MeanPercent: lease.MeanPercent, SkippedUpstream: lease.Skipped.Upstream, SkipReason: string(lease.Skipped.Reason),
 		FetchFrom: lease.FetchFrom, PrefillTokens: lease.Prefill.Tokens, PrefillReason: string(lease.Prefill.Reason),
@@ -155,13 +155,13 @@
 // buildRequest returns the request to the upstream.
 func (s *retryLoop) buildRequest(lease *balance.Lease) *upstream.Request {
 	r, d := s.request, s.request.Dialect
-	header := d.Forwarded(r.HTTP.Header)
+	header := d.RequestHeader(r.HTTP.Header)
 	set := func(name, value string) {
 		if name != "" && value != "" {
 			header.Set(name, value)
 		}
 	}
-	remaining := max(1, r.RemainingMs(s.pipe.deps.Clock.Steady()))
+	remaining := max(1, r.RemainingMs(s.pipe.deps.Clock.Monotonic()))
 	set(d.DeadlineMs, strconv.FormatInt(int64(remaining), 10))
 	set(d.ExpectUpstream, lease.ID)
 	set(d.FetchFrom, lease.FetchFrom)
--- a/internal/pipe/dispatch/buffered.go
+++ b/internal/pipe/dispatch/buffered.go
@@ -38,7 +38,7 @@
 		return &failure{err: err, execution: mayHaveRun}
 	}
 	w := &bufferedResponse{
-		status: resp.StatusCode, header: r.Dialect.Returned(resp.Header), body: body,
+		status: resp.StatusCode, header: r.Dialect.ResponseHeader(resp.Header), body: body,
 		notRun: resp.Header.Get(r.Dialect.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest,
 	}
 	if failed := s.classify(w); failed != nil {
@@ -110,4 +110,4 @@
 	}
 }
 
-var errCallerGone = errors.New("the caller left")
+var errCallerDisconnected = errors.New("the caller left")
--- a/internal/pipe/dispatch/dispatch.go
+++ b/internal/pipe/dispatch/dispatch.go
@@ -18,15 +18,15 @@
 // Dependencies are the parts of the box that the step uses.
 type Dependencies struct {
 	// Pick selects an upstream and counts the request in its load.
-	Pick func(ctx context.Context, a balance.Ask) (*balance.Lease, error)
+	Pick func(ctx context.Context, a balance.PickRequest) (*balance.Lease, error)
 	// MayRetry takes one retry from the retry budget of a pool and reports whether there was one.
 	MayRetry func(pool string) bool
 	// OnFirstSend counts the first attempt of a request in the retry budget of a pool.
 	OnFirstSend func(pool string)
-	// AgeMs returns the time since the routing state was last confirmed to be the newest, for logs.
-	AgeMs func() clock.Millis
-	// Tell logs an event.
-	Tell func(e decision.Event)
+	// StateAgeMs returns the time since the routing state was last confirmed to be the newest, for logs.
+	StateAgeMs func() clock.Millis
+	// RecordEvent logs an event.
+	RecordEvent func(e decision.Event)
 	// OnPrefill counts the tokens of shared prompt parts that an engine likely has to process, by reason.
 	OnPrefill func(why string, tokens int)
 	// RetryAfter returns the Retry-After of a refused request.
@@ -57,7 +57,7 @@
 
 // Run makes attempts until the caller has a response or no further attempt is allowed.
 func (p *Pipe) Run(r *opaque.Request) error {
-	ctx, cancel := p.deps.Clock.WithTimeout(r.Context(), max(1, r.RemainingMs(p.deps.Clock.Steady())))
+	ctx, cancel := p.deps.Clock.WithTimeout(r.Context(), max(1, r.RemainingMs(p.deps.Clock.Monotonic())))
 	defer cancel()
 	p.deps.OnFirstSend(r.Pool)
 	s := &retryLoop{pipe: p, request: r, ctx: ctx}
@@ -114,10 +114,10 @@
 }
 
 // pickRequest returns the request properties that the balancer selects an upstream by.
-func (s *retryLoop) pickRequest() balance.Ask {
+func (s *retryLoop) pickRequest() balance.PickRequest {
 	r := s.request
 	pool := r.State.Pool(r.Pool)
-	return balance.Ask{
+	return balance.PickRequest{
 		Pool: r.Pool, Sticky: r.Route.Sticky, Prompt: r.Prompt, Tried: r.Tried,
 		Transfers: pool != nil && pool.Engine != nil && pool.Engine.Transfers && r.Dialect.FetchFrom != "",
 	}
@@ -128,11 +128,11 @@
 	s.lastFailure = failed
 	s.request.Tried = append(s.request.Tried, lease.ID)
 	verdict := s.retryDecision(failed)
-	s.pipe.deps.Tell(decision.AttemptFailed{
+	s.pipe.deps.RecordEvent(decision.AttemptFailed{
 		Request: s.request.ID, Fingerprint: s.request.Fingerprint.String(), Upstream: lease.ID,
 		Attempt: s.attempts, Proof: string(failed.execution),
 		Status: failed.status(), Err: errorText(failed.err), Next: string(verdict),
-		BackoffMs: s.signals.BackoffMs, Draining: s.signals.Draining, TookMs: s.pipe.deps.Clock.Steady() - s.attemptStartedMs,
+		BackoffMs: s.signals.BackoffMs, Draining: s.signals.Draining, TookMs: s.pipe.deps.Clock.Monotonic() - s.attemptStartedMs,
 	})
 	return verdict == retryAllowed
 }
@@ -149,8 +149,8 @@
 	r := s.request
 	switch {
 	case r.Context().Err() != nil:
-		return stopCallerGone
-	case s.ctx.Err() != nil || r.RemainingMs(s.pipe.deps.Clock.Steady()) <= 0:
+		return stopCallerDisconnected
+	case s.ctx.Err() != nil || r.RemainingMs(s.pipe.deps.Clock.Monotonic()) <= 0:
 		return stopDeadline
 	case s.stream != nil && !s.stream.resumable():
 		return stopResponseStarted
@@ -183,15 +183,15 @@
 	r := s.request
 	switch {
 	case r.Context().Err() != nil:
-		return opaque.NewRefusal(opaque.StatusCallerGone, opaque.CallerGone, 0, failed.err)
+		return opaque.NewRefusal(opaque.StatusCallerDisconnected, opaque.CallerDisconnected, 0, failed.err)
 	case s.stream != nil:
 		return s.stream.abort(failed.err)
 	case failed.response != nil && failed.response.mayRelay(r):
 		return failed.response.relay(r, s.retryAfterMs)
 	case r.MayHaveRun && s.ctx.Err() != nil:
-		return opaque.NewRefusal(http.StatusGatewayTimeout, opaque.DeadlineSpent, 0, failed.err)
+		return opaque.NewRefusal(http.StatusGatewayTimeout, opaque.DeadlineExceeded, 0, failed.err)
 	case r.MayHaveRun:
-		return opaque.NewRefusal(http.StatusBadGateway, opaque.UpstreamLost, 0, failed.err)
+		return opaque.NewRefusal(http.StatusBadGateway, opaque.ResponseLost, 0, failed.err)
 	case allBackingOff(failed.err):
 		return opaque.NewRefusal(opaque.NotRunStatus, opaque.UpstreamsBackingOff, s.retryAfterMs(), failed.err)
 	case errors.Is(failed.err, balance.ErrNoUpstream) || failed.execution == notSent:
--- a/internal/pipe/dispatch/failure.go
+++ b/internal/pipe/dispatch/failure.go
@@ -30,7 +30,7 @@
 // Retry decisions; their texts are values of the log.
 const (
 	retryAllowed        retryDecision = "another attempt"
-	stopCallerGone      retryDecision = "none: the caller left"
+	stopCallerDisconnected      retryDecision = "none: the caller left"
 	stopDeadline        retryDecision = "none: no time left"
 	stopResponseStarted retryDecision = "none: the answer has begun"
 	stopMayHaveRun      retryDecision = "none: it may have run and may not run twice"
--- a/internal/pipe/dispatch/stream.go
+++ b/internal/pipe/dispatch/stream.go
@@ -90,7 +90,7 @@
 func (s *retryLoop) startStream(resp *upstream.Response) {
 	r := s.request
 	s.stream = &stream{request: r, completeOnly: r.Route.Resumable}
-	setResponseHeader(r.Writer.Header(), r.Dialect.Returned(resp.Header))
+	setResponseHeader(r.Writer.Header(), r.Dialect.ResponseHeader(resp.Header))
 	r.Writer.WriteHeader(http.StatusOK)
 	// If the caller has disconnected, writing the first event fails.
 	_ = r.Writer.FlushNow()
@@ -115,10 +115,10 @@
 	}
 	t.dataSent = true
 	if _, err := t.request.Writer.Write(part); err != nil {
-		return fmt.Errorf("%w: %w", errCallerGone, err)
+		return fmt.Errorf("%w: %w", errCallerDisconnected, err)
 	}
 	if err := t.request.Writer.FlushNow(); err != nil {
-		return fmt.Errorf("%w: %w", errCallerGone, err)
+		return fmt.Errorf("%w: %w", errCallerDisconnected, err)
 	}
 	return nil
 }
@@ -155,5 +155,5 @@
 // abort returns an error that closes the caller's connection, so that an incomplete response does
 // not appear complete.
 func (t *stream) abort(err error) error {
-	return opaque.NewRefusal(http.StatusOK, opaque.UpstreamLost, 0, fmt.Errorf("%w: %w", opaque.ErrCut, err))
+	return opaque.NewRefusal(http.StatusOK, opaque.ResponseLost, 0, fmt.Errorf("%w: %w", opaque.ErrTruncated, err))
 }
--- a/internal/pipe/receive/receive.go
+++ b/internal/pipe/receive/receive.go
@@ -52,7 +52,7 @@
 	}
 	r.Writer.BoundRead(0)
 	r.Body = body
-	r.NoteFingerprint()
+	r.ComputeFingerprint()
 	p.bufferedBytes.Add(int64(len(body)))
 	return nil
 }
@@ -97,8 +97,8 @@
 	case errors.As(err, &tooLarge):
 		return nil, opaque.NewRefusal(http.StatusRequestEntityTooLarge, opaque.BodyTooLarge, 0, err)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, opaque.NewRefusal(http.StatusRequestTimeout, opaque.BodyLate, 0, err)
+		return nil, opaque.NewRefusal(http.StatusRequestTimeout, opaque.BodyTimeout, 0, err)
 	default:
-		return nil, opaque.NewRefusal(http.StatusBadRequest, opaque.BodyUnread, 0, err)
+		return nil, opaque.NewRefusal(http.StatusBadRequest, opaque.BodyIncomplete, 0, err)
 	}
 }
--- a/internal/pipe/record/record.go
+++ b/internal/pipe/record/record.go
@@ -33,7 +33,7 @@
 // Run records the outcome of a request; err is the error that stopped its steps, or nil.
 func (p *Pipe) Run(r *opaque.Request, err error) {
 	elapsed := p.monotonic() - r.ArrivedMs
-	e := decision.Ended{
+	e := decision.RequestEnded{
 		Request: r.ID, Upstream: r.Upstream, AgeMs: p.stateAgeMs(), Status: r.Writer.Status(),
 		Attempts: len(r.Tried), Bytes: r.Writer.Written(), TookMs: elapsed,
 	}
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -59,7 +59,7 @@
 // they go to three boxes in turn (TestFatalRequest). Each termination also breaks all other requests
 // on that upstream, up to eleven streams in the logs of six boxes.
 type Ledger struct {
-	steady   func() clock.Millis
+	monotonic   func() clock.Millis
 	settings func() Settings
 
 	mu           sync.Mutex
@@ -80,9 +80,9 @@
 
 // New returns an empty ledger. firstSeq is the sequence number of its first event. It must be
 // greater than those that earlier processes of the box assigned.
-func New(steady func() clock.Millis, settings func() Settings, firstSeq int64) *Ledger {
+func New(monotonic func() clock.Millis, settings func() Settings, firstSeq int64) *Ledger {
 	return &Ledger{
-		steady: steady, settings: settings, fingerprints: map[Fingerprint]crashes{}, answered: newRecent(),
+		monotonic: monotonic, settings: settings, fingerprints: map[Fingerprint]crashes{}, answered: newRecent(),
 		events: eventLog{nextSeq: firstSeq},
 	}
 }
@@ -95,7 +95,7 @@
 func (l *Ledger) RecordCrash(fingerprint Fingerprint, upstream namekey.Key) (held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.record(fingerprint, upstream, l.steady(), true)
+	return l.record(fingerprint, upstream, l.monotonic(), true)
 }
 
 // record records a termination. If publish is set, the termination is added to this box's
@@ -144,7 +144,7 @@
 func (l *Ledger) RecordAnswer(fingerprint Fingerprint) (released bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.clearAnswered(fingerprint, l.steady())
+	return l.clearAnswered(fingerprint, l.monotonic())
 }
 
 // clearAnswered removes the terminations up to the time of an answer.
@@ -170,7 +170,7 @@
 func (l *Ledger) RecordEvents(list []CrashEvent, passOn bool) (held []Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now, retention := l.steady(), l.settings().retentionMs()
+	now, retention := l.monotonic(), l.settings().retentionMs()
 	for _, e := range list {
 		at := now - max(0, e.AgeMs)
 		switch {
@@ -196,7 +196,7 @@
 	if s.MinCrashes < 1 || len(known) < s.MinCrashes {
 		return 0
 	}
-	return max(0, known.newest()+s.HoldMs-l.steady())
+	return max(0, known.newest()+s.HoldMs-l.monotonic())
 }
 
 // EventsSince returns at most limit events from a sequence number on, and the sequence number to continue
@@ -204,7 +204,7 @@
 func (l *Ledger) EventsSince(from int64, limit int) ([]CrashEvent, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.events.since(from, limit, l.steady())
+	return l.events.since(from, limit, l.monotonic())
 }
 
 // Suspect is a fingerprint with the upstreams that terminated while they ran it.
@@ -232,7 +232,7 @@
 
 func (l *Ledger) suspects(match func(known crashes) bool) []Suspect {
 	list := []Suspect{}
-	now := l.steady()
+	now := l.monotonic()
 	for fingerprint, known := range l.fingerprints {
 		if match(known) {
 			list = append(list, Suspect{
@@ -248,7 +248,7 @@
 func (l *Ledger) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	oldest := l.steady() - l.settings().retentionMs()
+	oldest := l.monotonic() - l.settings().retentionMs()
 	maps.DeleteFunc(l.fingerprints, func(_ Fingerprint, known crashes) bool { return known.newest() <= oldest })
 }
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -92,7 +92,7 @@
 
 // Registry is the set of upstreams. It is safe for concurrent use.
 type Registry struct {
-	steady func() clock.Millis
+	monotonic func() clock.Millis
 
 	mu      sync.Mutex
 	entries map[string]entry
@@ -106,8 +106,8 @@
 }
 
 // New returns an empty registry.
-func New(steady func() clock.Millis) *Registry {
-	return &Registry{steady: steady, entries: map[string]entry{}, onChange: func() {}}
+func New(monotonic func() clock.Millis) *Registry {
+	return &Registry{monotonic: monotonic, entries: map[string]entry{}, onChange: func() {}}
 }
 
 // OnChange sets a function that is called after each change, without locks held.
@@ -117,7 +117,7 @@
 func (r *Registry) Apply(changes []Change) []Change {
 	applied := []Change{}
 	r.mu.Lock()
-	r.upToDateMs = r.steady()
+	r.upToDateMs = r.monotonic()
 	for _, c := range changes {
 		if r.apply(c) {
 			applied = append(applied, c)
@@ -146,7 +146,7 @@
 		r.entries[id] = old
 		return false
 	case known && old.supersedes(c):
-		r.entries[id] = old.afterStaleRecord(c, r.steady())
+		r.entries[id] = old.afterStaleRecord(c, r.monotonic())
 		return false
 	case !c.Removed:
 		next.upstream, next.sequence = c.Upstream, c.Sequence
@@ -159,7 +159,7 @@
 	case c.GraceMs == 0 || old.upstream.Draining:
 		next.tombstone, next.unusable = true, c.Unusable
 	default:
-		next.upstream, next.removeAtMs = old.upstream, r.steady()+c.GraceMs
+		next.upstream, next.removeAtMs = old.upstream, r.monotonic()+c.GraceMs
 	}
 	r.entries[id] = next
 	return true
@@ -218,7 +218,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at == r.journal.position {
-		r.upToDateMs = r.steady()
+		r.upToDateMs = r.monotonic()
 	}
 }
 
@@ -232,7 +232,7 @@
 // Expire removes entries whose grace period has ended, and restores upstreams that the store
 // keeps listing.
 func (r *Registry) Expire() {
-	now := r.steady()
+	now := r.monotonic()
 	changed := false
 	r.mu.Lock()
 	for id, e := range r.entries {
@@ -313,7 +313,7 @@
 	u := Update{Position: r.journal.position, Complete: true}
 	for _, e := range r.entries {
 		if !e.tombstone {
-			u.Changes = append(u.Changes, e.change(r.steady()))
+			u.Changes = append(u.Changes, e.change(r.monotonic()))
 		}
 	}
 	return u
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -16,14 +16,14 @@
 	"dooryard.example/dooryard/internal/routing"
 )
 
-func steady() clock.Millis { return 1000 }
+func monotonic() clock.Millis { return 1000 }
 
 // newState returns a routing state and a registry with a number of upstreams.
 func newState(t *testing.T, upstreams int) (*routing.StateTracker, *registry.Registry) {
 	t.Helper()
 	state, err := routing.New(routing.Content{Version: 7})
 	require.NoError(t, err)
-	belief, r := routing.NewStateTracker(steady), registry.New(steady)
+	belief, r := routing.NewStateTracker(monotonic), registry.New(monotonic)
 	belief.Adopt(state, 0)
 	for i := range upstreams {
 		r.Apply([]registry.Change{{Upstream: registry.Upstream{ID: fmt.Sprint("u", i)}, Position: position.At(0, int64(i+1))}})
--- a/internal/routing/belief.go
+++ b/internal/routing/belief.go
@@ -24,7 +24,7 @@
 // StateTracker holds a box's current routing state, and the time at which it was last confirmed to
 // be the newest. Readers never block.
 type StateTracker struct {
-	steady  func() clock.Millis
+	monotonic  func() clock.Millis
 	adopted atomic.Pointer[adopted]
 	// confirmed is the newest confirmation that the current state was the newest one written by
 	// the operators.
@@ -46,7 +46,7 @@
 }
 
 // NewStateTracker returns a Belief without a state.
-func NewStateTracker(steady func() clock.Millis) *StateTracker { return &StateTracker{steady: steady} }
+func NewStateTracker(monotonic func() clock.Millis) *StateTracker { return &StateTracker{monotonic: monotonic} }
 
 // State returns the current state, or nil if there is none yet.
 func (b *StateTracker) State() *State {
@@ -95,7 +95,7 @@
 	before, restored = b.newestEra, b.eraKnown
 	b.newestEra, b.eraKnown = era, true
 	if restored {
-		b.resettledMs = b.steady() + resettleMs
+		b.resettledMs = b.monotonic() + resettleMs
 	}
 	return before, restored
 }
@@ -144,4 +144,4 @@
 }
 
 // AgeMs returns the time since the current state was last confirmed to be the newest.
-func (b *StateTracker) AgeMs() clock.Millis { return b.steady() - b.ConfirmedMs() }
+func (b *StateTracker) AgeMs() clock.Millis { return b.monotonic() - b.ConfirmedMs() }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -65,7 +65,7 @@
 // Client manages the connections to one upstream. It is safe for concurrent use.
 type Client struct {
 	address string
-	steady  func() clock.Millis
+	monotonic  func() clock.Millis
 	dial    Dial
 
 	mu     sync.Mutex
@@ -84,8 +84,8 @@
 func WithOnDial(call func()) Option { return func(c *Client) { c.onDial = call } }
 
 // New returns a client for the upstream at an address.
-func New(address string, steady func() clock.Millis, options ...Option) *Client {
-	c := &Client{address: address, steady: steady, dial: systemDial, onDial: func() {}}
+func New(address string, monotonic func() clock.Millis, options ...Option) *Client {
+	c := &Client{address: address, monotonic: monotonic, dial: systemDial, onDial: func() {}}
 	for _, option := range options {
 		option(c)
 	}
@@ -126,7 +126,7 @@
 
 // CloseExpired closes the idle connections that the upstream is about to close.
 func (c *Client) CloseExpired() {
-	now := c.steady()
+	now := c.monotonic()
 	c.mu.Lock()
 	remaining := c.idle[:0]
 	var expired []*conn
@@ -161,7 +161,7 @@
 		cn := c.idle[last]
 		c.idle = c.idle[:last]
 		c.mu.Unlock()
-		if c.steady() < cn.idleUntilMs && cn.reusable() {
+		if c.monotonic() < cn.idleUntilMs && cn.reusable() {
 			return cn
 		}
 		_ = cn.Close()
@@ -183,13 +183,13 @@
 		c.keepIdle(cn, defaultIdleTimeoutMs)
 		return
 	}
-	c.keepIdle(cn, cn.idleUntilMs-c.steady())
+	c.keepIdle(cn, cn.idleUntilMs-c.monotonic())
 }
 
 // keepIdle adds a connection to the idle connections for the given duration. It closes the connection
 // instead if the client is closed, the duration has passed or there are maxIdleConns already.
 func (c *Client) keepIdle(cn *conn, timeout clock.Millis) {
-	cn.idleUntilMs = c.steady() + timeout
+	cn.idleUntilMs = c.monotonic() + timeout
 	c.mu.Lock()
 	keepIdle := !c.closed && timeout > 0 && len(c.idle) < maxIdleConns
 	if keepIdle {
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -45,7 +45,7 @@
 }
 
 func (s *testUpstream) client() *Client {
-	return New(s.listener.Addr().String(), clock.New().Steady)
+	return New(s.listener.Addr().String(), clock.New().Monotonic)
 }
 
 // respondEach sends the next of the raw responses to each request. After the last one it closes the
@@ -214,7 +214,7 @@
 	})
 	t.Run("is true when the header can't be written", func(t *testing.T) {
 		refused := errors.New("refused")
-		c := New("127.0.0.1:1", clock.New().Steady, WithDial(
+		c := New("127.0.0.1:1", clock.New().Monotonic, WithDial(
 			func(context.Context, string, string) (net.Conn, error) { return brokenConn{err: refused}, nil }))
 		_, err := readAll(t, c, request("1"))
 		require.ErrorIs(t, err, refused)
