--- a/internal/balance/manager.go
+++ b/internal/balance/manager.go
@@ -30,10 +30,10 @@
 
 // Manager holds the pools and their upstreams. It is safe for concurrent use.
 type Manager struct {
-	settings Settings
-	monotonic   func() clock.Millis
-	connect  func(address string) *upstream.Client
-	random   func(n int) int
+	settings  Settings
+	monotonic func() clock.Millis
+	connect   func(address string) *upstream.Client
+	random    func(n int) int
 
 	mu   sync.Mutex
 	byID map[string]*Member
--- a/internal/balance/netpath.go
+++ b/internal/balance/netpath.go
@@ -36,9 +36,9 @@
 	probing        bool
 	// probeEndedMs is when the last probe of the path ended.
 	probeEndedMs clock.Millis
-	// onOutage holds callbacks for the requests behind the path, by lease, which are called once
+	// onPartition holds callbacks for the requests behind the path, by lease, which are called once
 	// the path is partitioned.
-	onOutage map[*Lease]func()
+	onPartition map[*Lease]func()
 	// dialErrors and resets hold, by upstream ID, when a connection last could not be opened and when
 	// one last broke.
 	dialErrors map[string]clock.Millis
@@ -46,7 +46,7 @@
 }
 
 func newNetPath(now clock.Millis) *netPath {
-	p := &netPath{onOutage: map[*Lease]func(){}, dialErrors: map[string]clock.Millis{}, resets: map[string]clock.Millis{}}
+	p := &netPath{onPartition: map[*Lease]func(){}, dialErrors: map[string]clock.Millis{}, resets: map[string]clock.Millis{}}
 	p.lastContactMs.Store(int64(now))
 	return p
 }
--- a/internal/balance/permits_test.go
+++ b/internal/balance/permits_test.go
@@ -36,7 +36,7 @@
 	return f
 }
 
-func TestPickPlace(t *testing.T) {
+func TestPickWithPermit(t *testing.T) {
 	t.Run("requests a permit under the multiple of the mean load of all boxes", func(t *testing.T) {
 		f, owner := inLargeFleet(t, 120), &fakeOwner{}
 		lease, err := f.PickWithPermit(sticky("s"), owner.acquire)
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestRunning(t *testing.T) {
+func TestInFlightByPool(t *testing.T) {
 	f := newFixture(t, 12)
 	for range 3 {
 		f.pick(t, sticky("s"))
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -265,7 +265,7 @@
 	}
 	l.released = true
 	l.inFlight--
-	delete(l.path.onOutage, l)
+	delete(l.path.onPartition, l)
 	l.manager.retryScheduleFor(l.Pool).recordCompletion(l.manager.monotonic())
 	if l.responding {
 		l.path.responding--
@@ -283,7 +283,7 @@
 func (l *Lease) OnPartition(callback func()) {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
-	l.path.onOutage[l] = callback
+	l.path.onPartition[l] = callback
 }
 
 // Report records the upstream's own count of the requests it holds.
--- a/internal/balance/prefill.go
+++ b/internal/balance/prefill.go
@@ -9,7 +9,7 @@
 // nor the engine that it fetches from is known to cache them.
 type Prefill struct {
 	Tokens int
-	Reason    PrefillReason
+	Reason PrefillReason
 }
 
 // PrefillReason is the reason for which shared parts are prefilled.
--- a/internal/balance/probes.go
+++ b/internal/balance/probes.go
@@ -33,7 +33,7 @@
 )
 
 // Probe is a probe of the path to a failure domain. The caller opens connections to the upstreams
-// of Clients and reports the result to Probed.
+// of Clients and reports the result to RecordProbe.
 type Probe struct {
 	FailureDomain string
 	Clients       []*upstream.Client
@@ -114,8 +114,8 @@
 	case changed:
 		p.partitionedAtMs = now
 		m.closeIdleConnections(name)
-		callbacks = slices.Collect(maps.Values(p.onOutage))
-		clear(p.onOutage)
+		callbacks = slices.Collect(maps.Values(p.onPartition))
+		clear(p.onPartition)
 	}
 	return outageMs, changed, callbacks
 }
--- a/internal/balance/skipped.go
+++ b/internal/balance/skipped.go
@@ -10,7 +10,7 @@
 type Skipped struct {
 	// Upstream is the engine's ID, or "" if the first engine was chosen.
 	Upstream string
-	Reason      SkipReason
+	Reason   SkipReason
 }
 
 // SkipReason is the reason for which an engine was skipped.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -29,7 +29,7 @@
 // Clock reads the time and starts timers. The zero value is not usable; use New.
 // Copies share their timers.
 type Clock struct {
-	now    func() Millis
+	now       func() Millis
 	monotonic func() Millis
 	// sleep replaces the implementation of Sleep, if it is set.
 	sleep  func(ctx context.Context, span Millis) error
@@ -57,7 +57,7 @@
 // WithBootTime makes the monotonic time include the time in which the machine is suspended.
 // Without it, a box that was suspended for seconds treats outdated confirmations of keys and
 // versions as recent, and passed deadlines as still ahead. A reading takes 68 ns instead of
-// 37 ns (BenchmarkSteady).
+// 37 ns (BenchmarkMonotonic).
 func WithBootTime() Option { return WithMonotonic(bootMonotonic()) }
 
 // New returns the system clock, modified by the options. By default its monotonic time stops
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -150,9 +150,9 @@
 	assert.GreaterOrEqual(t, c.Monotonic(), first)
 }
 
-// BenchmarkSteady reads the monotonic time: "before" on the clock that excludes suspensions,
+// BenchmarkMonotonic reads the monotonic time: "before" on the clock that excludes suspensions,
 // "after" on the one that includes them.
-func BenchmarkSteady(b *testing.B) {
+func BenchmarkMonotonic(b *testing.B) {
 	for name, c := range map[string]Clock{"before": New(), "after": New(WithBootTime())} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -38,15 +38,15 @@
 	Load        int
 	MeanPercent int
 	// SkippedUpstream is the engine ranked first for the session, if another one was picked.
-	// PassedWhy is the reason.
+	// SkipReason is the reason.
 	SkippedUpstream string
-	SkipReason  string
+	SkipReason      string
 	// FetchFrom is the engine from which to fetch cached prefixes.
 	FetchFrom string
 	// PrefillTokens is the estimated number of tokens of shared prefixes that the engine has
 	// to process itself. ReadWhy is the reason why no engine's cached copy can be used.
 	PrefillTokens int
-	PrefillReason    string
+	PrefillReason string
 	// ResumeAfter is the last event that the caller has received, on a resumed stream.
 	ResumeAfter string
 }
@@ -98,7 +98,7 @@
 	BackoffMs clock.Millis
 	// Draining is set when the upstream announced that it is shutting down.
 	Draining bool
-	TookMs  clock.Millis
+	TookMs   clock.Millis
 }
 
 // Name implements Event.
@@ -190,20 +190,20 @@
 	return nil
 }
 
-// Dependency records that the box lost or regained a dependency.
+// Dependency records that the box lost or regained access to a dependency.
 type Dependency struct {
 	// Dependency is "store" or "path to a failure domain".
-	Dependency string
-	ID         string
-	Lost       bool
-	Err        string
+	Dependency  string
+	ID          string
+	Unavailable bool
+	Err         string
 	// UnavailableMs is how long the dependency was unavailable; it is logged when it is available again.
 	UnavailableMs clock.Millis
 }
 
 // Name implements Event.
 func (e Dependency) Name() string {
-	if e.Lost {
+	if e.Unavailable {
 		return "dependency lost"
 	}
 	return "dependency back"
@@ -217,7 +217,7 @@
 	o.AddString("dependency", e.Dependency)
 	addIfSet(o, "id", e.ID)
 	addIfSet(o, "error", e.Err)
-	if !e.Lost {
+	if !e.Unavailable {
 		o.AddInt64("away_ms", int64(e.UnavailableMs))
 	}
 	return nil
@@ -356,7 +356,7 @@
 // Quarantined records that requests with a fingerprint are quarantined or released.
 type Quarantined struct {
 	Fingerprint string
-	// Upstreams is the number of upstreams that ended while running such a request.
+	// Upstreams is the number of upstreams that crashed while running such a request.
 	Upstreams int
 	// HoldMs is the duration of the quarantine, or 0 on release because an upstream answered
 	// such a request.
--- a/internal/decision/log.go
+++ b/internal/decision/log.go
@@ -20,7 +20,7 @@
 	MaxWaiting int
 }
 
-// Log queues events and writes them as JSON lines. Tell never blocks: events are
+// Log queues events and writes them as JSON lines. Record never blocks: events are
 // dropped and counted when a queue is full or the line rate limit is exceeded.
 // Routine and important events have separate queues, each with half of the line rate,
 // so that routine events can't crowd out important ones.
--- a/internal/decision/log_test.go
+++ b/internal/decision/log_test.go
@@ -47,7 +47,7 @@
 	return messages
 }
 
-func TestTell(t *testing.T) {
+func TestRecord(t *testing.T) {
 	t.Run("never blocks on a blocked output", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			out := &blockedWriter{unblock: make(chan struct{})}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -54,7 +54,7 @@
 	Queued   int          `json:"queued"`
 	Slots    int          `json:"slots"`
 	Models   []string     `json:"models"`
-	Draining  bool         `json:"leaving"`
+	Draining bool         `json:"leaving"`
 	AtMs     clock.Millis `json:"at_ms"`
 }
 
--- a/internal/gateway/rest_test.go
+++ b/internal/gateway/backoff_test.go
@@ -15,22 +15,22 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// The tests of this file guard against requests to upstreams that have asked for a rest period, in which they want no
-// requests from the box. Five of twelve engines refused everything and asked each box for seconds of rest, but the
+// The tests of this file guard against requests to upstreams that have asked for a backoff, in which they want no
+// requests from the box. Five of twelve engines refused everything and asked each box for a backoff of several seconds, but the
 // boxes continued to send there: callers were refused for eight seconds, in some seconds more than a tenth of them,
 // although most engines of the pool had capacity.
 //
 // It happened because a box used only what upstreams report in the store, and ignored their responses. An upstream that
 // refuses all requests holds none, so it looked the least loaded and stayed the first choice of its sessions until its
-// failure rate ejected it. The log showed six sends within two rest periods, each a first attempt to the session's
+// failure rate ejected it. The log showed six sends within two backoffs, each a first attempt to the session's
 // first choice, with a load of 0 and before any ejection; in one of them no change of the store came between two sends.
-// Log lines of refused attempts include the requested rest period.
+// Log lines of refused attempts include the requested backoff.
 
 const (
-	// reactionMs is how long after its response an upstream's feedback may still be unprocessed, and
-	// maxSendsPerRest how many requests may reach it in the remaining rest period. Operators set these bounds.
-	reactionMs      clock.Millis = 500
-	maxSendsPerRest int          = 2
+	// reactionMs is how long after its response an upstream's signals may still be unprocessed, and
+	// maxSendsPerRest how many requests may reach it in the remaining backoff. Operators set these bounds.
+	reactionMs         clock.Millis = 500
+	maxSendsPerBackoff int          = 2
 	// drainBoundMs is how long after an upstream announced that it is draining requests may still be sent to it.
 	drainBoundMs clock.Millis = 2000
 )
@@ -38,34 +38,34 @@
 // boxUpstream identifies an upstream as seen by one box.
 type boxUpstream struct{ box, upstream string }
 
-// restPeriod is a rest period that an upstream requested from a box.
-type restPeriod struct {
+// backoffPeriod is a backoff that an upstream requested from a box.
+type backoffPeriod struct {
 	boxUpstream
 	fromMs, untilMs clock.Millis
 }
 
-// feedbackUpstreams are upstreams that send feedback in their responses, and the requests that reached them.
-type feedbackUpstreams struct {
+// signalingUpstreams are upstreams that send signals in their responses, and the requests that reached them.
+type signalingUpstreams struct {
 	fleet *fleet
-	// feedback returns an upstream's feedback to its next request: a rest period, and whether it is draining.
-	feedback func(upstream string, now clock.Millis) (restMs clock.Millis, leaving bool)
+	// signals returns an upstream's signals to its next request: a backoff, and whether it is draining.
+	signals func(upstream string, now clock.Millis) (backoffMs clock.Millis, draining bool)
 
 	mu              sync.Mutex
 	random          *rand.Rand
 	arrivals        map[boxUpstream][]clock.Millis
-	rests           []restPeriod
+	backoffs        []backoffPeriod
 	drainingSinceMs map[boxUpstream]clock.Millis
 }
 
-func newFeedbackUpstreams(f *fleet, seed uint64) *feedbackUpstreams {
-	return &feedbackUpstreams{
+func newSignalingUpstreams(f *fleet, seed uint64) *signalingUpstreams {
+	return &signalingUpstreams{
 		fleet: f, random: rand.New(rand.NewPCG(seed, seed)),
 		arrivals: map[boxUpstream][]clock.Millis{}, drainingSinceMs: map[boxUpstream]clock.Millis{},
 	}
 }
 
 // randomSpan returns a random duration between two bounds.
-func (a *feedbackUpstreams) randomSpan(minMs, maxMs clock.Millis) clock.Millis {
+func (a *signalingUpstreams) randomSpan(minMs, maxMs clock.Millis) clock.Millis {
 	return minMs + clock.Millis(a.random.Int64N(int64(maxMs-minMs)))
 }
 
@@ -73,32 +73,32 @@
 const serviceTimeMs clock.Millis = 20
 
 // upstreams starts a number of upstreams.
-func (a *feedbackUpstreams) upstreams(count int) {
+func (a *signalingUpstreams) upstreams(count int) {
 	for i := range count {
 		id := "u" + strconv.Itoa(i)
 		a.fleet.upstream(id, func(w http.ResponseWriter, r *http.Request) { a.serve(id, w, r) })
 	}
 }
 
-// serve records a request to an upstream and responds with the upstream's feedback.
-func (a *feedbackUpstreams) serve(id string, w http.ResponseWriter, r *http.Request) {
+// serve records a request to an upstream and responds with the upstream's signals.
+func (a *signalingUpstreams) serve(id string, w http.ResponseWriter, r *http.Request) {
 	now := a.fleet.clock.Monotonic()
 	at := boxUpstream{box: r.Header.Get("X-Box"), upstream: id}
 	a.mu.Lock()
 	a.arrivals[at] = append(a.arrivals[at], now)
-	restMs, leaving := a.feedback(id, now)
-	if restMs > 0 {
-		a.rests = append(a.rests, restPeriod{boxUpstream: at, fromMs: now + reactionMs, untilMs: now + restMs})
+	backoffMs, draining := a.signals(id, now)
+	if backoffMs > 0 {
+		a.backoffs = append(a.backoffs, backoffPeriod{boxUpstream: at, fromMs: now + reactionMs, untilMs: now + backoffMs})
 	}
-	if _, known := a.drainingSinceMs[at]; leaving && !known {
+	if _, known := a.drainingSinceMs[at]; draining && !known {
 		a.drainingSinceMs[at] = now
 	}
 	a.mu.Unlock()
-	if leaving {
-		w.Header().Set(headerLeaving, "1")
+	if draining {
+		w.Header().Set(headerDraining, "1")
 	}
-	if restMs > 0 {
-		w.Header().Set(headerRestMs, strconv.FormatInt(int64(restMs), 10))
+	if backoffMs > 0 {
+		w.Header().Set(headerBackoffMs, strconv.FormatInt(int64(backoffMs), 10))
 		w.Header().Set("Retry-After", "upstream's")
 		respondNotRun(w, r)
 		return
@@ -108,12 +108,12 @@
 	}
 }
 
-// violatedRests returns the number of rest periods with too many requests, the number of all rest periods, and the
+// violatedBackoffs returns the number of backoffs with too many requests, the number of all backoffs, and the
 // maximum number of requests in one.
-func (a *feedbackUpstreams) violatedRests() (bad, all, worst int) {
+func (a *signalingUpstreams) violatedBackoffs() (bad, all, worst int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, r := range a.rests {
+	for _, r := range a.backoffs {
 		count := 0
 		for _, at := range a.arrivals[r.boxUpstream] {
 			if at >= r.fromMs && at <= r.untilMs {
@@ -121,16 +121,16 @@
 			}
 		}
 		worst = max(worst, count)
-		if count > maxSendsPerRest {
+		if count > maxSendsPerBackoff {
 			bad++
 		}
 	}
-	return bad, len(a.rests), worst
+	return bad, len(a.backoffs), worst
 }
 
 // lateRequests counts the requests that a box sent to an upstream later than allowed after the upstream announced to it
 // that it is draining.
-func (a *feedbackUpstreams) lateRequests() int {
+func (a *signalingUpstreams) lateRequests() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	count := 0
@@ -145,7 +145,7 @@
 }
 
 // usedSince returns the number of upstreams that received a request at or after an instant.
-func (a *feedbackUpstreams) usedSince(from clock.Millis) int {
+func (a *signalingUpstreams) usedSince(from clock.Millis) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	used := map[string]bool{}
@@ -178,7 +178,7 @@
 }
 
 // run generates the load, sends each request to the next box, and returns the outcomes.
-func (a *feedbackUpstreams) run(boxes []*running, l loadProfile) []outcome {
+func (a *signalingUpstreams) run(boxes []*running, l loadProfile) []outcome {
 	f := a.fleet
 	outcomes := make([]outcome, int(l.span.Seconds()*float64(l.perSecond)))
 	var running sync.WaitGroup
@@ -193,7 +193,7 @@
 	return outcomes
 }
 
-func (a *feedbackUpstreams) sendOne(b *running, l loadProfile, number int) outcome {
+func (a *signalingUpstreams) sendOne(b *running, l loadProfile, number int) outcome {
 	f := a.fleet
 	// The shift after every seventh request makes each box receive each path.
 	o := outcome{path: l.paths[(number+number/7)%len(l.paths)], sentMs: f.clock.Monotonic()}
@@ -223,14 +223,14 @@
 
 var requestPaths = []string{"/sticky/", "/unsafe/", "/safe/", "/unsafe2/", "/sticky/", "/public/"}
 
-// assertRestsRespected checks that no upstream received too many requests in a rest period.
-func (a *feedbackUpstreams) assertRestsRespected() {
-	bad, all, worst := a.violatedRests()
-	assert.Positive(a.fleet.t, all, "upstreams asked for rest periods")
-	assert.Zero(a.fleet.t, bad, "of %d rest periods, maximum number of requests in one: %d", all, worst)
+// assertRestsRespected checks that no upstream received too many requests in a backoff.
+func (a *signalingUpstreams) assertRestsRespected() {
+	bad, all, worst := a.violatedBackoffs()
+	assert.Positive(a.fleet.t, all, "upstreams asked for backoffs")
+	assert.Zero(a.fleet.t, bad, "of %d backoffs, maximum number of requests in one: %d", all, worst)
 }
 
-func TestRest(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	const overloadStartMs, overloadEndMs = 4000, 14_000
 	// refusing reports whether an upstream is one of the first count ones and is currently overloaded.
 	refusing := func(id string, now, startMs clock.Millis, count int) bool {
@@ -239,9 +239,9 @@
 	}
 	t.Run("half of the upstreams refuse most requests", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
-			a := newFeedbackUpstreams(f, 1)
+			a := newSignalingUpstreams(f, 1)
 			startMs := f.clock.Monotonic()
-			a.feedback = func(id string, now clock.Millis) (clock.Millis, bool) {
+			a.signals = func(id string, now clock.Millis) (clock.Millis, bool) {
 				if refusing(id, now, startMs, 6) && a.random.IntN(3) > 0 {
 					return a.randomSpan(1000, 4000), false
 				}
@@ -255,11 +255,11 @@
 			assert.Equal(f.t, 12, a.usedSince(f.clock.Monotonic()-2000), "all take part again")
 		})
 	})
-	t.Run("if all upstreams rest, callers are refused immediately with the time of the first available one", func(t *testing.T) {
+	t.Run("if all upstreams are backing off, callers are refused immediately with the time of the first available one", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
-			a := newFeedbackUpstreams(f, 2)
+			a := newSignalingUpstreams(f, 2)
 			startMs := f.clock.Monotonic()
-			a.feedback = func(id string, now clock.Millis) (clock.Millis, bool) {
+			a.signals = func(id string, now clock.Millis) (clock.Millis, bool) {
 				if refusing(id, now, startMs, 12) {
 					return startMs + overloadEndMs - now, false
 				}
@@ -272,16 +272,16 @@
 			assert.Equal(f.t, 12, a.usedSince(startMs+overloadEndMs), "all take part again")
 		})
 	})
-	t.Run("the longest rest period counts, despite edits, an expired entry and a suspension", func(t *testing.T) {
+	t.Run("the longest backoff counts, despite edits, an expired entry and a suspension", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
-			a := newFeedbackUpstreams(f, 3)
+			a := newSignalingUpstreams(f, 3)
 			startMs, asked := f.clock.Monotonic(), 0
-			a.feedback = func(id string, now clock.Millis) (clock.Millis, bool) {
+			a.signals = func(id string, now clock.Millis) (clock.Millis, bool) {
 				if id != "u0" || now >= startMs+12_000 {
 					return 0, false
 				}
 				asked++
-				// The longer one comes first, so that two rest periods overlap.
+				// The longer one comes first, so that two backoffs overlap.
 				return []clock.Millis{8000, 1000}[min(asked, 2)-1], false
 			}
 			a.upstreams(2)
@@ -332,9 +332,9 @@
 	testDraining := func(t *testing.T, expire bool) {
 		t.Helper()
 		runWithFleet(t, func(f *fleet) {
-			a := newFeedbackUpstreams(f, 4)
+			a := newSignalingUpstreams(f, 4)
 			startMs := f.clock.Monotonic()
-			a.feedback = func(id string, now clock.Millis) (clock.Millis, bool) {
+			a.signals = func(id string, now clock.Millis) (clock.Millis, bool) {
 				number, _ := strconv.Atoi(id[1:])
 				return 0, number < 4 && now >= startMs+4000
 			}
--- a/internal/gateway/box.go
+++ b/internal/gateway/box.go
@@ -62,7 +62,7 @@
 	budgets       *retry.Budgets
 	steps         *steps
 	peering       *peering
-	crashDetector       *crashDetector
+	crashDetector *crashDetector
 	ignoredInputs *ignoredInputLog
 	pauseDetector *pauseDetector
 	sink          *storeSink
@@ -70,8 +70,8 @@
 
 	servers  []*http.Server
 	stopping atomic.Bool
-	// storeLost is set while any stream of the store can't be read.
-	storeLost atomic.Bool
+	// storeUnavailable is set while any stream of the store can't be read.
+	storeUnavailable atomic.Bool
 	// storeRestoredMs is when this box last found the store restored from an older snapshot, 0 if never.
 	storeRestoredMs atomic.Int64
 	// synced is closed once the box has a routing state and a list of upstreams.
@@ -152,7 +152,7 @@
 
 // meshKnowledge returns what the box currently knows, for other boxes and for metrics.
 func (b *Box) meshKnowledge() mesh.StateSummary {
-	k := mesh.StateSummary{Position: b.registry.Position(), AgeMs: -1, StoreLost: b.storeLost.Load()}
+	k := mesh.StateSummary{Position: b.registry.Position(), AgeMs: -1, StoreUnavailable: b.storeUnavailable.Load()}
 	if state := b.routingState.State(); state != nil {
 		k.Version = state.Version()
 	}
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crash_detector.go
@@ -158,7 +158,7 @@
 }
 
 // handleChanges processes registry changes. If an entry has disappeared or its server has restarted, the previous
-// incarnation has terminated.
+// incarnation has crashed.
 func (d *crashDetector) handleChanges(changes []registry.Change) {
 	for _, c := range changes {
 		successor := c.Upstream.Incarnation()
@@ -169,8 +169,8 @@
 	}
 }
 
-// handleCrash processes the termination of all incarnations of an upstream except its successor, or of all if
-// successor is empty. Recent is set if the upstream terminated a short time ago.
+// handleCrash processes the crash of all incarnations of an upstream except its successor, or of all if
+// successor is empty. Recent is set if the upstream crashed a short time ago.
 func (d *crashDetector) handleCrash(id, successor string, recent bool) {
 	list := d.removeSuspects(id, successor, recent)
 	if len(list) == 0 {
@@ -192,7 +192,7 @@
 }
 
 // removeSuspects removes and returns the suspects of all incarnations of an upstream except its successor. Of the
-// abandoned requests it returns only the newest, and only if the termination is recent.
+// abandoned requests it returns only the newest, and only if the crash is recent.
 func (d *crashDetector) removeSuspects(id, successor string, recent bool) []suspect {
 	now := d.box.clock.Monotonic()
 	d.mu.Lock()
@@ -225,7 +225,9 @@
 }
 
 // recordFromPeer processes crashes that another box reported.
-func (d *crashDetector) recordFromPeer(list []quarantine.CrashEvent) { d.recordFrom("another box", list) }
+func (d *crashDetector) recordFromPeer(list []quarantine.CrashEvent) {
+	d.recordFrom("another box", list)
+}
 
 func (d *crashDetector) recordFrom(source string, list []quarantine.CrashEvent) {
 	for _, fingerprint := range d.box.quarantine.RecordEvents(list, d.box.peering.mesh.IsLarge()) {
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -36,18 +36,18 @@
 
 // Headers with which the tests' upstreams report their own state.
 const (
-	headerRestMs  = "X-Rest-Ms"
-	headerLeaving = "X-Leaving"
+	headerBackoffMs = "X-Rest-Ms"
+	headerDraining  = "X-Leaving"
 )
 
 // decodeSignals decodes what an upstream reports about itself in response headers.
 func decodeSignals(_ int, header http.Header) opaque.Signals {
 	holds, err := strconv.Atoi(header.Get("X-Load"))
-	w := opaque.Signals{Draining: header.Get(headerLeaving) != "", InFlight: holds, HasLoad: err == nil}
-	if value := header.Get(headerRestMs); value != "" {
-		var restMs int
-		restMs, w.Err = strconv.Atoi(value)
-		w.BackoffMs = clock.Millis(restMs)
+	w := opaque.Signals{Draining: header.Get(headerDraining) != "", InFlight: holds, HasLoad: err == nil}
+	if value := header.Get(headerBackoffMs); value != "" {
+		var backoffMs int
+		backoffMs, w.Err = strconv.Atoi(value)
+		w.BackoffMs = clock.Millis(backoffMs)
 	}
 	return w
 }
--- a/internal/gateway/freshness_test.go
+++ b/internal/gateway/freshness_test.go
@@ -135,7 +135,7 @@
 		}
 		advance(t, 4*time.Second)
 		for _, b := range boxes {
-			assert.False(t, b.storeLost.Load(), "%s has the store again", b.settings.Box)
+			assert.False(t, b.storeUnavailable.Load(), "%s has the store again", b.settings.Box)
 		}
 	})
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestCallerGone(t *testing.T) {
+func TestCallerDisconnected(t *testing.T) {
 	runWithFleet(t, func(f *fleet) {
 		t := f.t
 		gone := make(chan time.Time, 1)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -46,8 +46,8 @@
 // StoreRestored counts a restoration of the store from an older snapshot.
 func (m *Metrics) StoreRestored() { m.all.Add("store_restored", 1) }
 
-// RestRequested counts a rest period that an upstream asked for.
-func (m *Metrics) RestRequested() { m.all.Add("upstream_rests_heard", 1) }
+// BackoffRequested counts a backoff that an upstream asked for.
+func (m *Metrics) BackoffRequested() { m.all.Add("upstream_rests_heard", 1) }
 
 // DrainingAnnounced counts an upstream that announced in a response that it is draining.
 func (m *Metrics) DrainingAnnounced() { m.all.Add("upstream_leavings_heard", 1) }
--- a/internal/gateway/paths.go
+++ b/internal/gateway/paths.go
@@ -45,7 +45,7 @@
 	}
 	if downMs, changed := b.balance.RecordProbe(probe.FailureDomain, reachable); changed {
 		b.log.Record(decision.Dependency{
-			Dependency: "path to a failure domain", ID: probe.FailureDomain, Lost: !reachable, UnavailableMs: downMs,
+			Dependency: "path to a failure domain", ID: probe.FailureDomain, Unavailable: !reachable, UnavailableMs: downMs,
 		})
 	}
 }
--- a/internal/gateway/peering.go
+++ b/internal/gateway/peering.go
@@ -30,9 +30,9 @@
 
 // peering exchanges state with the other boxes of the fleet.
 type peering struct {
-	box     *Box
-	mesh    *mesh.Mesh
-	client  *relay.Client
+	box        *Box
+	mesh       *mesh.Mesh
+	client     *relay.Client
 	peerStates chan mesh.PeerState
 	// startedMs is when this box joined the mesh.
 	startedMs clock.Millis
@@ -56,7 +56,7 @@
 		},
 		Clock: b.clock, PeriodMs: timingOf(*settings).periodMs, Conn: conn,
 		Contacts: p.contacts, StateSummary: b.meshKnowledge, InFlight: b.balance.InFlight,
-		InFlightByPool:   b.balance.InFlightByPool,
+		InFlightByPool:     b.balance.InFlightByPool,
 		AnnouncementsSince: b.balance.AnnouncementsSince, RecordAnnouncements: b.balance.RecordAnnouncements,
 		CrashEventsSince: b.quarantine.EventsSince, RecordCrashEvents: b.crashDetector.recordFromPeer,
 		OnPeerState: p.enqueue, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
@@ -131,7 +131,7 @@
 
 // inInitialRead reports whether the box may still be in its first read of the store, which has not failed.
 func (p *peering) inInitialRead() bool {
-	return !p.box.storeLost.Load() && p.box.clock.Monotonic()-p.startedMs < initialReadMs
+	return !p.box.storeUnavailable.Load() && p.box.clock.Monotonic()-p.startedMs < initialReadMs
 }
 
 func (p *peering) fetch(ctx context.Context, from mesh.Identity, local mesh.StateSummary) error {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -23,7 +23,7 @@
 // ID, mostly at another box, is sent to an engine that is still running, and crashed engines restart after some seconds
 // and crash again: 19 engines crashed like this within 20 s.
 //
-// It happened because a box knew of a request only until its response broke, and boxes did not share this knowledge.
+// It happened because a box knew of a request only until its response broke, and boxes did not share that.
 // The fingerprint in log lines (equal for equal method, path, organisation and body) shows such a request: the same
 // fingerprint appears at each crash, with different request IDs and at different boxes, and no box retried it itself.
 
--- a/internal/gateway/feedback.go
+++ b/internal/gateway/signals.go
@@ -7,22 +7,22 @@
 )
 
 // handleSignals processes what an upstream reports about itself in response headers: its load, that it asks this box
-// for a rest period without requests, or that it is draining. It logs the start of a rest period, and draining once.
-func (b *Box) handleSignals(request string, lease *balance.Lease, feedback opaque.Signals) {
-	if feedback.HasLoad {
-		lease.Report(feedback.InFlight)
+// for a backoff without requests, or that it is draining. It logs the start of a backoff, and draining once.
+func (b *Box) handleSignals(request string, lease *balance.Lease, signals opaque.Signals) {
+	if signals.HasLoad {
+		lease.Report(signals.InFlight)
 	}
-	if feedback.Err != nil {
-		b.ReportInvalidInput("response headers of upstream "+lease.ID, feedback.Err)
+	if signals.Err != nil {
+		b.ReportInvalidInput("response headers of upstream "+lease.ID, signals.Err)
 	}
 	event := decision.UpstreamSignaled{Upstream: lease.Incarnation(), Pool: lease.Pool, Request: request}
-	if feedback.Draining && lease.MarkDraining() {
+	if signals.Draining && lease.MarkDraining() {
 		b.metrics.DrainingAnnounced()
 		b.log.Record(event)
 	}
-	if feedback.BackoffMs > 0 && lease.BackOff(feedback.BackoffMs, request) {
-		b.metrics.RestRequested()
-		event.BackoffMs = feedback.BackoffMs
+	if signals.BackoffMs > 0 && lease.BackOff(signals.BackoffMs, request) {
+		b.metrics.BackoffRequested()
+		event.BackoffMs = signals.BackoffMs
 		b.log.Record(event)
 	}
 }
--- a/internal/gateway/feedback_test.go
+++ b/internal/gateway/signals_test.go
@@ -14,10 +14,10 @@
 	"dooryard.example/dooryard/internal/why"
 )
 
-// requestRest returns a handler that refuses a request and asks for a rest period.
-func requestRest(span string) http.HandlerFunc {
+// requestBackoff returns a handler that refuses a request and asks for a backoff.
+func requestBackoff(span string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(headerRestMs, span)
+		w.Header().Set(headerBackoffMs, span)
 		respondNotRun(w, r)
 	}
 }
@@ -56,11 +56,11 @@
 	return found
 }
 
-func TestFeedback(t *testing.T) {
-	t.Run("a stream is not resumed at a resting upstream", func(t *testing.T) {
+func TestSignals(t *testing.T) {
+	t.Run("a stream is not resumed at an upstream that is backing off", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
-			var resting atomic.Int32
-			f.upstream("u1", countRequests(&resting, requestRest("5000")))
+			var backingOff atomic.Int32
+			f.upstream("u1", countRequests(&backingOff, requestBackoff("5000")))
 			b := f.box(1)
 			advance(f.t, time.Second)
 			_, _, err := b.get("/unsafe/")
@@ -80,15 +80,15 @@
 				require.NoError(f.t, err)
 				assert.Equal(f.t, fiveEvents, body)
 			}
-			assert.EqualValues(f.t, 1, resting.Load())
+			assert.EqualValues(f.t, 1, backingOff.Load())
 		})
 	})
-	t.Run("an invalid rest period is ignored, counted and logged once", func(t *testing.T) {
+	t.Run("an invalid backoff is ignored, counted and logged once", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			var arrivals atomic.Int32
 			log := &logBuffer{}
 			f.out = log
-			f.upstream("u1", countRequests(&arrivals, requestRest("soon")))
+			f.upstream("u1", countRequests(&arrivals, requestBackoff("soon")))
 			b := f.box(1)
 			advance(f.t, time.Second)
 			for range 5 {
@@ -101,11 +101,11 @@
 			assert.Len(f.t, withMessage(log.read(f.t), "input ignored"), 1)
 		})
 	})
-	t.Run("log lines link a refused request to the rest period that caused the refusal", func(t *testing.T) {
+	t.Run("log lines link a refused request to the backoff that caused the refusal", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			log := &logBuffer{}
 			f.out = log
-			f.upstream("u1", requestRest("60000"))
+			f.upstream("u1", requestBackoff("60000"))
 			b := f.box(1)
 			advance(f.t, time.Second)
 			_, _, err := b.get("/unsafe/")
@@ -118,9 +118,9 @@
 			advance(f.t, time.Second)
 			story := why.Story(log.read(f.t), "refused", 0)
 			require.Len(f.t, withMessage(story, "upstream asks for rest"), 1)
-			rest := withMessage(story, "upstream asks for rest")[0]
-			assert.JSONEq(f.t, `"1"`, string(rest.Fields["answer_to"]))
-			assert.EqualValues(f.t, 60_000, rest.RestMs)
+			backoff := withMessage(story, "upstream asks for rest")[0]
+			assert.JSONEq(f.t, `"1"`, string(backoff.Fields["answer_to"]))
+			assert.EqualValues(f.t, 60_000, backoff.RestMs)
 			ended := withMessage(story, "request ended")
 			require.Len(f.t, ended, 1)
 			assert.JSONEq(f.t, `"upstreams_at_rest"`, string(ended[0].Fields["cause"]))
@@ -129,12 +129,12 @@
 			assert.Equal(f.t, "1", b.metrics.all.Get("upstream_rests_heard").String())
 		})
 	})
-	t.Run("feedback of another upstream at the same address does not apply to the picked one", func(t *testing.T) {
+	t.Run("signals of another upstream at the same address do not apply to the picked one", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			var arrivals atomic.Int32
 			f.upstream("u1", countRequests(&arrivals, func(w http.ResponseWriter, _ *http.Request) {
-				w.Header().Set(headerRestMs, "5000")
-				w.Header().Set(headerLeaving, "1")
+				w.Header().Set(headerBackoffMs, "5000")
+				w.Header().Set(headerDraining, "1")
 				w.WriteHeader(http.StatusMisdirectedRequest)
 			}))
 			b := f.box(1)
@@ -147,7 +147,7 @@
 			assert.EqualValues(f.t, 2, arrivals.Load())
 		})
 	})
-	t.Run("after a rest period requested with 429 single requests probe the upstream", func(t *testing.T) {
+	t.Run("after a backoff requested with 429 single requests probe the upstream", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			var arrivals atomic.Int32
 			f.upstream("u1", func(w http.ResponseWriter, r *http.Request) {
@@ -155,7 +155,7 @@
 					_ = f.clock.Sleep(r.Context(), 200)
 					return
 				}
-				w.Header().Set(headerRestMs, "1000")
+				w.Header().Set(headerBackoffMs, "1000")
 				w.Header().Set("X-Not-Run", "1")
 				w.WriteHeader(http.StatusTooManyRequests)
 			})
@@ -176,7 +176,7 @@
 	t.Run("a running request completes at an upstream that starts draining", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			f.upstream("u1", func(w http.ResponseWriter, r *http.Request) {
-				w.Header().Set(headerLeaving, "1")
+				w.Header().Set(headerDraining, "1")
 				writeEvents(1, 3, func(w http.ResponseWriter, r *http.Request) {
 					_ = http.NewResponseController(w).Flush()
 					if f.clock.Sleep(r.Context(), 250) == nil {
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -44,10 +44,10 @@
 	box    *Box
 	source string
 
-	mu          sync.Mutex
-	version     int64
-	lostSince   map[string]clock.Millis
-	recoveredMs clock.Millis
+	mu               sync.Mutex
+	version          int64
+	unavailableSince map[string]clock.Millis
+	recoveredMs      clock.Millis
 	// lastReadMs holds the time of the last successful read of each stream that was read at least once.
 	lastReadMs map[string]clock.Millis
 	// lastFailureMs is when a read last failed.
@@ -55,7 +55,7 @@
 }
 
 func (b *Box) newStoreSink(source string) *storeSink {
-	return &storeSink{box: b, source: source, lostSince: map[string]clock.Millis{}, lastReadMs: map[string]clock.Millis{}}
+	return &storeSink{box: b, source: source, unavailableSince: map[string]clock.Millis{}, lastReadMs: map[string]clock.Millis{}}
 }
 
 func (s *storeSink) asSink() Sink {
@@ -91,13 +91,13 @@
 	if needed && s.box.peering.mesh.IsStoreReader() {
 		return true
 	}
-	for lost := range s.lostSince {
+	for lost := range s.unavailableSince {
 		if lost < stream {
 			return false
 		}
 	}
 	// A box whose reads were refused retries from time to time, even if it needs nothing.
-	_, lost := s.lostSince[stream]
+	_, lost := s.unavailableSince[stream]
 	return needed || lost && s.box.clock.Monotonic()-s.lastFailureMs >= lostStoreRetryMs
 }
 
@@ -137,7 +137,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	removalGraceMs := timingOf(s.box.Settings()).removalGraceMs
-	if len(s.lostSince) > 0 {
+	if len(s.unavailableSince) > 0 {
 		return removalGraceMs
 	}
 	recoveredMs := max(s.recoveredMs, s.box.restoredMs())
@@ -156,21 +156,21 @@
 	} else {
 		s.lastReadMs[stream] = now
 	}
-	since, wasLost := s.lostSince[stream]
+	since, wasLost := s.unavailableSince[stream]
 	event := decision.Dependency{Dependency: s.source, ID: stream}
 	switch {
 	case err != nil && !wasLost:
-		s.lostSince[stream] = now
-		event.Lost, event.Err = true, err.Error()
+		s.unavailableSince[stream] = now
+		event.Unavailable, event.Err = true, err.Error()
 	case err == nil && wasLost:
-		delete(s.lostSince, stream)
+		delete(s.unavailableSince, stream)
 		s.recoveredMs = now
 		event.UnavailableMs = now - since
 	default:
 		s.mu.Unlock()
 		return
 	}
-	s.box.storeLost.Store(len(s.lostSince) > 0)
+	s.box.storeUnavailable.Store(len(s.unavailableSince) > 0)
 	s.mu.Unlock()
 	s.box.log.Record(event)
 }
--- a/internal/load/demo.go
+++ b/internal/load/demo.go
@@ -89,8 +89,8 @@
 	keys       sync.Map
 }
 
-// leaveGraceMs is within what time a leaving upstream gets no new work.
-const leaveGraceMs = 3000
+// drainGraceMs is within what time a draining upstream gets no new work.
+const drainGraceMs = 3000
 
 func (d *demo) run(ctx context.Context) error {
 	if err := d.stopFourthBox(); err != nil {
@@ -153,7 +153,7 @@
 			Chat: engine.Chat{Model: localfleet.Model, Messages: messages, Stream: true, MaxTokens: demoTokens},
 		})
 		d.chats.Add(result)
-		d.checkLeaving(result)
+		d.checkDraining(result)
 		if result.Verdict == Whole {
 			return
 		}
@@ -162,11 +162,11 @@
 	d.neverEnded.Add(1)
 }
 
-// checkLeaving counts work that a leaving engine got after its grace.
-func (d *demo) checkLeaving(result Result) {
+// checkDraining counts work that a draining engine got after its grace.
+func (d *demo) checkDraining(result Result) {
 	left := clock.Millis(d.leftMs.Load())
 	began := d.caller.Clock.Now() - result.TookMs
-	if left > 0 && result.Upstream == d.fleet.Engines()[0].Name && began > left+leaveGraceMs {
+	if left > 0 && result.Upstream == d.fleet.Engines()[0].Name && began > left+drainGraceMs {
 		d.toLeaving.Add(1)
 	}
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -329,9 +329,9 @@
 	engines := r.to.engines()
 	for i := 0; ; i++ {
 		e := engines[i*7%len(engines)]
-		e.SetLeaving(true)
+		e.SetDraining(true)
 		_ = r.caller.Clock.Sleep(ctx, awayMs)
-		e.SetLeaving(false)
+		e.SetDraining(false)
 		select {
 		case <-stop:
 			return
--- a/internal/localfleet/control_test.go
+++ b/internal/localfleet/control_test.go
@@ -284,7 +284,7 @@
 	t.Run("by its own word gets no new work after 3 s", func(t *testing.T) {
 		run(t, func(tr *trial) {
 			tr.wait(10_000)
-			tr.Engines()[0].SetLeaving(true)
+			tr.Engines()[0].SetDraining(true)
 			assertNoNewWork(tr, tr.Engines()[0])
 		}, withBoxes(3))
 	})
--- a/internal/mesh/bytes_test.go
+++ b/internal/mesh/bytes_test.go
@@ -58,12 +58,12 @@
 	return sent
 }
 
-// TestEndingBytes logs how many bytes each box sends for a report of an ended upstream, by fleet
+// TestCrashEventBytes logs how many bytes each box sends for a report of an ended upstream, by fleet
 // size. Ten reports a second come from different boxes, as when an upstream ends each second while
 // running ten requests. At 9, 64 and 200 boxes the cost is 322, 1,735 and 172 bytes if every box
 // forwards every report, and 91, 84 and 177 bytes if boxes of fleets of up to 128 forward reports
-// only from the second ending on.
-func TestEndingBytes(t *testing.T) {
+// only from the second crash on.
+func TestCrashEventBytes(t *testing.T) {
 	const seconds = 10
 	for _, c := range []struct{ boxes, limit int }{{9, 0}, {64, 0}, {200, 200}} {
 		t.Run(fmt.Sprintf("at %d boxes", c.boxes), func(t *testing.T) {
@@ -73,13 +73,13 @@
 				}
 				advance(f.t, 20*time.Second)
 				baseline := f.sentIn(seconds, func(int) {})
-				withEndings := f.sentIn(seconds, func(second int) {
+				withCrashEvents := f.sentIn(seconds, func(second int) {
 					for i := range 10 {
 						f.boxes[(second*10+i)%c.boxes].ledger.RecordCrash(quarantine.Fingerprint(1<<60+second*10+i), namekey.Of(fmt.Sprint("u", second)))
 					}
 				})
-				each := (withEndings - baseline) / c.boxes / (10 * seconds)
-				f.t.Logf("%d boxes: %d bytes sent per box and ending", c.boxes, each)
+				each := (withCrashEvents - baseline) / c.boxes / (10 * seconds)
+				f.t.Logf("%d boxes: %d bytes sent per box and crash", c.boxes, each)
 				if c.limit > 0 {
 					assert.LessOrEqual(f.t, each, c.limit)
 				}
--- a/internal/mesh/endings_test.go
+++ b/internal/mesh/crash_events_test.go
@@ -12,11 +12,11 @@
 	"dooryard.example/dooryard/internal/quarantine"
 )
 
-// TestEndings checks how soon all boxes know the fingerprint under which upstreams ended, when each
-// ending is observed by a different box.
-func TestEndings(t *testing.T) {
+// TestCrashEvents checks how soon all boxes know the fingerprint under which upstreams crashed, when each
+// crash is observed by a different box.
+func TestCrashEvents(t *testing.T) {
 	const fingerprint quarantine.Fingerprint = 7
-	// recordThree lets three boxes record one ending each.
+	// recordThree lets three boxes record one crash each.
 	recordThree := func(f *fixture) {
 		for i := range 3 {
 			f.boxes[i].ledger.RecordCrash(fingerprint, namekey.Of("u"+strconv.Itoa(i)))
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -51,8 +51,8 @@
 	// maxAnnouncements limits the prompt parts that a datagram names, at 11 bytes each. It exceeds
 	// the number of parts that a box's engines process while the box misses a cycle.
 	maxAnnouncements = 64
-	// maxCrashEvents limits the upstream endings that a datagram reports, at 16 bytes each.
-	// maxEndingsLarge applies in a large fleet, where a box sends and answers about seven datagrams
+	// maxCrashEvents limits the upstream crashes that a datagram reports, at 16 bytes each.
+	// maxCrashEventsLarge applies in a large fleet, where a box sends and answers about seven datagrams
 	// a second.
 	maxCrashEvents      = 64
 	maxCrashEventsLarge = 16
@@ -63,7 +63,7 @@
 
 // PeerState is the state of another box, observed at some instant between the ping and the reply.
 type PeerState struct {
-	From      Identity
+	From         Identity
 	StateSummary StateSummary
 	// PingedMs is when this box sent its ping, or 0 for an unsolicited update.
 	PingedMs clock.Millis
@@ -71,28 +71,28 @@
 
 // Mesh is this box's member of the gossip mesh. It is safe for concurrent use.
 type Mesh struct {
-	self             Identity
-	clock            clock.Clock
-	period           clock.Millis
-	conn             net.PacketConn
-	contacts         func() []string
+	self                Identity
+	clock               clock.Clock
+	period              clock.Millis
+	conn                net.PacketConn
+	contacts            func() []string
 	stateSummary        func() StateSummary
-	inFlight         func() map[namekey.Key]int
-	inFlightByPool          func() map[namekey.Key]int
-	ledger           *occupancy.Ledger
-	announcementsSince      func(from int64, limit int) ([]prompt.CachedPart, int64)
+	inFlight            func() map[namekey.Key]int
+	inFlightByPool      func() map[namekey.Key]int
+	ledger              *occupancy.Ledger
+	announcementsSince  func(from int64, limit int) ([]prompt.CachedPart, int64)
 	recordAnnouncements func(list []prompt.CachedPart)
-	crashEventsSince          func(from int64, limit int) ([]quarantine.CrashEvent, int64)
-	recordCrashEvents     func(list []quarantine.CrashEvent)
+	crashEventsSince    func(from int64, limit int) ([]quarantine.CrashEvent, int64)
+	recordCrashEvents   func(list []quarantine.CrashEvent)
 	onPeerState         func(a PeerState)
-	random           *rand.Rand
+	random              *rand.Rand
 
 	mu    sync.Mutex
 	peers map[string]*peer
 	// directPeers is the number of peers that sent a message themselves. The others are known only
 	// because another box named them.
 	directPeers int
-	draining     bool
+	draining    bool
 	// toPing holds the boxes that are still to be pinged in this cycle.
 	toPing     []string
 	ignored    int64
@@ -100,7 +100,7 @@
 	sendErrors int64
 
 	pendingPermits permitRequests
-	// permitTimeouts counts slot requests that no owner answered in time.
+	// permitTimeouts counts permit requests that no owner answered in time.
 	permitTimeouts int64
 }
 
@@ -113,7 +113,7 @@
 	Conn     net.PacketConn
 	// Contacts returns addresses to ping while few boxes are known.
 	Contacts func() []string
-	// StateSummary returns the current knowledge of this box.
+	// StateSummary returns the state summary of this box.
 	StateSummary func() StateSummary
 	// InFlight returns this box's requests in flight, by upstream.
 	InFlight func() map[namekey.Key]int
@@ -121,17 +121,17 @@
 	// InFlight.
 	InFlightByPool func() map[namekey.Key]int
 	// AnnouncementsSince returns the prompt parts that this box's requests put into engine caches from a
-	// sequence number on, up to a limit, and the sequence number to continue from. LearnKept
+	// sequence number on, up to a limit, and the sequence number to continue from. RecordAnnouncements
 	// receives the parts that other boxes report.
-	AnnouncementsSince func(from int64, limit int) ([]prompt.CachedPart, int64)
+	AnnouncementsSince  func(from int64, limit int) ([]prompt.CachedPart, int64)
 	RecordAnnouncements func(list []prompt.CachedPart)
-	// CrashEventsSince returns this box's reports of ended upstreams from a sequence number on, as
-	// KeptSince does. LearnEndings receives the reports of other boxes.
-	CrashEventsSince func(from int64, limit int) ([]quarantine.CrashEvent, int64)
+	// CrashEventsSince returns this box's reports of crashed upstreams from a sequence number on, as
+	// AnnouncementsSince does. RecordCrashEvents receives the reports of other boxes.
+	CrashEventsSince  func(from int64, limit int) ([]quarantine.CrashEvent, int64)
 	RecordCrashEvents func(list []quarantine.CrashEvent)
-	// OnPeerState receives the knowledge of another box. It must not block.
+	// OnPeerState receives the state summary of another box. It must not block.
 	OnPeerState func(a PeerState)
-	Random   *rand.Rand
+	Random      *rand.Rand
 }
 
 // New returns the mesh member of one box.
@@ -244,8 +244,8 @@
 	}
 }
 
-func (m *Mesh) packet(t packetType, askedMs clock.Millis) *packet {
-	p := &packet{Type: t, From: m.self, PingedMs: askedMs, StateSummary: m.stateSummary(), InFlight: m.inFlight()}
+func (m *Mesh) packet(t packetType, pingedMs clock.Millis) *packet {
+	p := &packet{Type: t, From: m.self, PingedMs: pingedMs, StateSummary: m.stateSummary(), InFlight: m.inFlight()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p.Draining = m.draining
@@ -282,7 +282,7 @@
 	return &out
 }
 
-// addCrashEventsLocked adds reports of ended upstreams. They are sent again until the receiver
+// addCrashEventsLocked adds reports of crashed upstreams. They are sent again until the receiver
 // acknowledges them, so a lost datagram loses no report.
 func (m *Mesh) addCrashEventsLocked(p *packet, receiver *peer) {
 	limit := maxCrashEvents
@@ -322,12 +322,12 @@
 	return m.conn.WriteTo(data, net.UDPAddrFromAddrPort(target))
 }
 
-// Broadcast notifies the other boxes of the failure domain that this box's knowledge has changed.
+// Broadcast notifies the other boxes of the failure domain that this box's state has changed.
 func (m *Mesh) Broadcast() {
 	m.broadcast(func(p *peer) bool { return p.FailureDomain == m.self.FailureDomain })
 }
 
-// BroadcastCrashEvents immediately sends new reports of ended upstreams to all boxes. In a large fleet
+// BroadcastCrashEvents immediately sends new reports of crashed upstreams to all boxes. In a large fleet
 // the reports spread with the rounds instead.
 func (m *Mesh) BroadcastCrashEvents() {
 	m.broadcast(func(*peer) bool { return !m.largeLocked() })
@@ -364,9 +364,9 @@
 	Ignored    int64 `json:"datagrams_ignored"`
 	SendErrors int64 `json:"datagrams_unsent"`
 	SentBytes  int64 `json:"datagram_bytes_sent"`
-	// Permits are the slots that this box counts as an owner. SlotTimeouts counts this box's slot
+	// Permits are the permits that this box counts as an owner. PermitTimeouts counts this box's permit
 	// requests that no owner answered in time.
-	Permits       occupancy.Sizes `json:"places"`
+	Permits        occupancy.Sizes `json:"places"`
 	PermitTimeouts int64           `json:"places_unanswered"`
 }
 
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -22,17 +22,17 @@
 
 type box struct {
 	*Mesh
-	mu        sync.Mutex
-	knowledge StateSummary
-	inFlight  map[namekey.Key]int
-	answers   []PeerState
-	kept      []prompt.CachedPart
-	received  []prompt.CachedPart
-	stop      context.CancelFunc
-	ledger    *quarantine.Ledger
+	mu           sync.Mutex
+	stateSummary StateSummary
+	inFlight     map[namekey.Key]int
+	answers      []PeerState
+	kept         []prompt.CachedPart
+	received     []prompt.CachedPart
+	stop         context.CancelFunc
+	ledger       *quarantine.Ledger
 }
 
-// newLedger returns a ledger that quarantines a fingerprint after three endings.
+// newLedger returns a ledger that quarantines a fingerprint after three crashes.
 func newLedger() *quarantine.Ledger {
 	c := clock.New()
 	settings := quarantine.Settings{MinCrashes: 3, HoldMs: 600 * clock.Second}
@@ -89,20 +89,20 @@
 		StateSummary: func() StateSummary {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			return b.knowledge
+			return b.stateSummary
 		},
 		InFlight: func() map[namekey.Key]int {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			return maps.Clone(b.inFlight)
 		},
-		InFlightByPool: b.runningByPool,
+		InFlightByPool: b.ownInFlightByPool,
 		OnPeerState: func(a PeerState) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.answers = append(b.answers, a)
 		},
-		CrashEventsSince: b.ledger.EventsSince,
+		CrashEventsSince:  b.ledger.EventsSince,
 		RecordCrashEvents: func(list []quarantine.CrashEvent) { b.ledger.RecordEvents(list, b.IsLarge()) },
 		AnnouncementsSince: func(from int64, limit int) ([]prompt.CachedPart, int64) {
 			b.mu.Lock()
@@ -213,7 +213,7 @@
 			assert.Zero(t, first.DomainPingIntervals()["d0"], "it has no other box")
 		})
 	})
-	t.Run("a leaving box stops reading the store for others", func(t *testing.T) {
+	t.Run("a draining box stops reading the store for others", func(t *testing.T) {
 		runInBubble(t, func(f *fixture) {
 			t := f.t
 			for range 3 {
@@ -227,7 +227,7 @@
 				}
 			}
 			advance(f.t, time.Second)
-			assert.Len(t, f.storeReaders(), readersPerDomain+1, "the leaving box still reads for itself")
+			assert.Len(t, f.storeReaders(), readersPerDomain+1, "the draining box still reads for itself")
 		})
 	})
 	t.Run("requests in flight of other boxes are known until those boxes time out", func(t *testing.T) {
@@ -240,7 +240,7 @@
 			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.OthersInFlight())
 			three.BroadcastDraining()
 			advance(f.t, time.Second)
-			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.OthersInFlight(), "a leaving box finishes its requests")
+			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.OthersInFlight(), "a draining box finishes its requests")
 			three.stop()
 			advance(f.t, minAliveMs.Duration())
 			assert.Equal(t, loads{"u": 2}.keyed(), one.OthersInFlight())
@@ -271,7 +271,7 @@
 			t := f.t
 			one, two := f.start("d"), f.start("d")
 			two.mu.Lock()
-			two.knowledge = StateSummary{Version: 7, AgeMs: 40}
+			two.stateSummary = StateSummary{Version: 7, AgeMs: 40}
 			two.mu.Unlock()
 			before := one.clock.Monotonic()
 			advance(f.t, time.Second)
--- a/internal/mesh/packet.go
+++ b/internal/mesh/packet.go
@@ -39,8 +39,8 @@
 	// AgeMs is the time since Version was last confirmed as the newest, or negative if it never
 	// was.
 	AgeMs clock.Millis `cbor:"3,keyasint" json:"age_ms"`
-	// StoreLost is set while the box can't read its store.
-	StoreLost bool `cbor:"4,keyasint,omitempty" json:"store_lost"`
+	// StoreUnavailable is set while the box can't read its store.
+	StoreUnavailable bool `cbor:"4,keyasint,omitempty" json:"store_lost"`
 	// Era is the store era of the response that confirmed Version.
 	Era int64 `cbor:"5,keyasint,omitempty" json:"era"`
 }
@@ -52,9 +52,9 @@
 const (
 	// typePing requests a reply.
 	typePing packetType = 1
-	// typeReply answers a ping and echoes its AskedMs.
+	// typeReply answers a ping and echoes its PingedMs.
 	typeReply packetType = 2
-	// typeUpdate announces that the sender's knowledge has changed.
+	// typeUpdate announces that the sender's state has changed.
 	typeUpdate packetType = 3
 )
 
@@ -63,8 +63,8 @@
 	Type packetType `cbor:"1,keyasint"`
 	From Identity   `cbor:"2,keyasint"`
 	// PingedMs is the time of the ping on the sender's monotonic clock. The reply echoes it.
-	PingedMs   clock.Millis `cbor:"3,keyasint,omitempty"`
-	StateSummary StateSummary    `cbor:"4,keyasint"`
+	PingedMs     clock.Millis `cbor:"3,keyasint,omitempty"`
+	StateSummary StateSummary `cbor:"4,keyasint"`
 	// InFlight is the sender's requests in flight, by upstream.
 	InFlight map[namekey.Key]int `cbor:"5,keyasint,omitempty"`
 	// Draining is set once the sender is about to stop.
@@ -74,10 +74,10 @@
 	// Announcements are prompt parts that the sender's requests put into engine caches and that it
 	// has not sent to this receiver yet.
 	Announcements []prompt.CachedPart `cbor:"8,keyasint,omitempty"`
-	// CrashEvents are the sender's reports of ended upstreams that the receiver has not acknowledged.
-	// EndingsNext is the sequence number that follows them.
+	// CrashEvents are the sender's reports of crashed upstreams that the receiver has not acknowledged.
+	// CrashEventsNext is the sequence number that follows them.
 	CrashEvents     []quarantine.CrashEvent `cbor:"9,keyasint,omitempty"`
-	CrashEventsNext int64               `cbor:"10,keyasint,omitempty"`
+	CrashEventsNext int64                   `cbor:"10,keyasint,omitempty"`
 	// CrashEventsAcked acknowledges the receiver's reports up to this sequence number.
 	CrashEventsAcked int64 `cbor:"11,keyasint,omitempty"`
 	// InFlightByPool is the sender's requests in flight, by pool. A large fleet uses it instead of
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -15,17 +15,17 @@
 	Identity
 	lastSeenMs clock.Millis
 	// firstSeenMs is when this incarnation sent its first message, or 0 if it has sent none.
-	firstSeenMs clock.Millis
+	firstSeenMs    clock.Millis
 	stateSummary   StateSummary
-	inFlight    map[namekey.Key]int
-	inFlightByPool     map[namekey.Key]int
-	draining     bool
+	inFlight       map[namekey.Key]int
+	inFlightByPool map[namekey.Key]int
+	draining       bool
 	// unacked is the number of pings sent since the box's last message.
 	unacked int
 	// sentAnnouncements is the sequence number of the next cached prompt part to send to the box.
 	sentAnnouncements int64
 	// receivedCrashEvents is the sequence number up to which this box has received the peer's reports
-	// of ended upstreams. ackedEndings is the one up to which the peer has acknowledged this box's
+	// of crashed upstreams. ackedCrashEvents is the one up to which the peer has acknowledged this box's
 	// reports.
 	receivedCrashEvents int64
 	ackedCrashEvents    int64
@@ -204,7 +204,7 @@
 	return count
 }
 
-// alive reports whether the box is alive and not leaving.
+// alive reports whether the box is alive and not draining.
 func (p *peer) alive(now, aliveTimeout clock.Millis) bool {
 	return p.firstSeenMs > 0 && !p.draining && now-p.lastSeenMs < aliveTimeout
 }
@@ -247,7 +247,7 @@
 	sum := map[namekey.Key]int{}
 	aliveTimeout := m.aliveTimeoutLocked()
 	for _, p := range m.peers {
-		// A leaving box still runs its requests in flight.
+		// A draining box still runs its requests in flight.
 		if now-p.lastSeenMs >= aliveTimeout {
 			continue
 		}
@@ -306,7 +306,7 @@
 	return sums
 }
 
-// OthersInFlightAgeMs returns the average age of the counts that Others returns. In a large fleet boxes
+// OthersInFlightAgeMs returns the average age of the counts that OthersInFlight returns. In a large fleet boxes
 // don't exchange loads by upstream, so it returns the maximum age.
 func (m *Mesh) OthersInFlightAgeMs() clock.Millis {
 	now := m.clock.Monotonic()
@@ -336,7 +336,7 @@
 	}
 }
 
-// HasMissingBox reports whether a recently live box is silent without having announced that it leaves.
+// HasMissingBox reports whether a recently live box is silent without having announced that it is draining.
 func (m *Mesh) HasMissingBox() bool {
 	now := m.clock.Monotonic()
 	m.mu.Lock()
@@ -383,7 +383,7 @@
 // live boxes.
 func (m *Mesh) storeReadersLocked(now clock.Millis) []Identity {
 	all, reachable := []Identity{m.self}, []Identity{}
-	if !m.stateSummary().StoreLost {
+	if !m.stateSummary().StoreUnavailable {
 		reachable = append(reachable, m.self)
 	}
 	aliveTimeout := m.aliveTimeoutLocked()
@@ -392,7 +392,7 @@
 			continue
 		}
 		all = append(all, p.Identity)
-		if !p.stateSummary.StoreLost {
+		if !p.stateSummary.StoreUnavailable {
 			reachable = append(reachable, p.Identity)
 		}
 	}
--- a/internal/mesh/slots.go
+++ b/internal/mesh/permits.go
@@ -25,20 +25,20 @@
 // failure domains and is small compared to the time that a caller waits.
 const permitTimeoutMs clock.Millis = 20
 
-// permitMessageKind distinguishes slot messages.
+// permitMessageKind distinguishes permit messages.
 type permitMessageKind uint8
 
 const (
-	// permitAcquire requests a slot at an upstream, subject to a bound.
+	// permitAcquire requests a permit at an upstream, subject to a bound.
 	permitAcquire permitMessageKind = 1
-	// permitGranted and slotDenied answer a slotAcquire message.
+	// permitGranted and permitDenied answer a permitAcquire message.
 	permitGranted permitMessageKind = 2
 	permitDenied  permitMessageKind = 3
-	// permitRelease releases a slot.
+	// permitRelease releases a permit.
 	permitRelease permitMessageKind = 4
 )
 
-// permitMessage is one datagram about a slot.
+// permitMessage is one datagram about a permit.
 type permitMessage struct {
 	_    struct{} `cbor:",toarray"`
 	Kind permitMessageKind
@@ -48,7 +48,7 @@
 	Bound    int
 }
 
-// cborArray is the major type of an encoded array, found in the first byte. Slot messages are
+// cborArray is the major type of an encoded array, found in the first byte. Permit messages are
 // arrays and all other datagrams are maps.
 const cborArray = 0x80
 
@@ -62,12 +62,12 @@
 		return p, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	if p.Kind < permitAcquire || p.Kind > permitRelease || p.Bound < 0 {
-		return p, fmt.Errorf("%w: slot message: kind %d, bound %d", ErrInvalid, p.Kind, p.Bound)
+		return p, fmt.Errorf("%w: permit message: kind %d, bound %d", ErrInvalid, p.Kind, p.Bound)
 	}
 	return p, nil
 }
 
-// permitRequests are this box's slot requests that wait for an answer.
+// permitRequests are this box's permit requests that wait for an answer.
 type permitRequests struct {
 	mu         sync.Mutex
 	nextNumber uint32
@@ -99,9 +99,9 @@
 	}
 }
 
-// AcquirePermit requests a slot at an upstream, subject to a bound, from the owner of the upstream in a
-// failure domain. The slot is also granted when no owner answers in time. The returned function
-// releases the slot.
+// AcquirePermit requests a permit at an upstream, subject to a bound, from the owner of the upstream in a
+// failure domain. The permit is also granted when no owner answers in time. The returned function
+// releases the permit.
 func (m *Mesh) AcquirePermit(
 	ctx context.Context, upstream namekey.Key, failureDomain string, bound int,
 ) (granted bool, release func()) {
@@ -128,11 +128,11 @@
 	if !granted {
 		return false, nil
 	}
-	// Even without an answer the owner may have received the request and counted the slot.
+	// Even without an answer the owner may have received the request and counted the permit.
 	return true, func() { m.sendPermitMessage(owner.Address, permitMessage{Kind: permitRelease, Number: number}) }
 }
 
-// acquireLocalPermit acquires a slot at an upstream that this box owns.
+// acquireLocalPermit acquires a permit at an upstream that this box owns.
 func (m *Mesh) acquireLocalPermit(upstream namekey.Key, bound int) (granted bool, release func()) {
 	number, _ := m.pendingPermits.start()
 	m.pendingPermits.finish(number)
@@ -202,7 +202,7 @@
 	return all[:min(count, len(all))]
 }
 
-// handlePermitMessage processes a datagram about a slot.
+// handlePermitMessage processes a datagram about a permit.
 func (m *Mesh) handlePermitMessage(data []byte, from net.Addr) {
 	p, err := decodePermitMessage(data)
 	if err != nil {
@@ -226,7 +226,7 @@
 	}
 }
 
-// sendPermitMessage sends a datagram about a slot. A failure is counted and otherwise treated like
+// sendPermitMessage sends a datagram about a permit. A failure is counted and otherwise treated like
 // packet loss.
 func (m *Mesh) sendPermitMessage(address string, p permitMessage) {
 	data, err := cbor.Marshal(p)
@@ -243,6 +243,6 @@
 	m.permitTimeouts++
 }
 
-// ExpirePermits removes slots whose release message was lost. It must be called at least once a
+// ExpirePermits removes permits whose release message was lost. It must be called at least once a
 // second.
 func (m *Mesh) ExpirePermits() { m.ledger.Expire() }
--- a/internal/mesh/slots_test.go
+++ b/internal/mesh/permits_test.go
@@ -12,9 +12,9 @@
 	"dooryard.example/dooryard/internal/namekey"
 )
 
-// runningByPool returns the box's requests in flight. All upstreams of the tests belong to one
+// ownInFlightByPool returns the box's requests in flight. All upstreams of the tests belong to one
 // pool.
-func (b *box) runningByPool() map[namekey.Key]int {
+func (b *box) ownInFlightByPool() map[namekey.Key]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sum := 0
@@ -42,7 +42,7 @@
 	})
 }
 
-// acquireAll lets each box request a slot at an upstream. It returns the number of granted slots
+// acquireAll lets each box request a permit at an upstream. It returns the number of granted permits
 // and a function that releases them.
 func (f *fixture) acquireAll(upstream string, bound int) (granted int, release func()) {
 	releases := []func(){}
@@ -60,8 +60,8 @@
 	}
 }
 
-// slots returns the number of slots that all boxes count as owners, after removing expired ones.
-func (f *fixture) slots() int {
+// permits returns the number of permits that all boxes count as owners, after removing expired ones.
+func (f *fixture) permits() int {
 	sum := 0
 	for _, b := range f.boxes {
 		b.ExpirePermits()
@@ -70,49 +70,49 @@
 	return sum
 }
 
-func TestSlots(t *testing.T) {
+func TestPermits(t *testing.T) {
 	runLargeFleet(t, func(f *fixture) {
 		t := f.t
 		granted, release := f.acquireAll("u", 9)
-		assert.Equal(t, 9, granted, "all boxes together get as many slots as the bound allows")
+		assert.Equal(t, 9, granted, "all boxes together get as many permits as the bound allows")
 		release()
 		advance(t, time.Second)
-		assert.Zero(t, f.slots())
+		assert.Zero(t, f.permits())
 		granted, _ = f.acquireAll("u", 7)
-		assert.Equal(t, 7, granted, "released slots are available again")
+		assert.Equal(t, 7, granted, "released permits are available again")
 		advance(t, time.Minute)
-		assert.Zero(t, f.slots(), "an owner expires slots whose release message was lost")
+		assert.Zero(t, f.permits(), "an owner expires permits whose release message was lost")
 
 		ok, release := f.boxes[0].AcquirePermit(t.Context(), namekey.Of("u"), "nowhere", 0)
-		assert.True(t, ok, "slots are granted in a failure domain without boxes")
+		assert.True(t, ok, "permits are granted in a failure domain without boxes")
 		assert.Nil(t, release)
 		sum := 0
 		for _, b := range f.boxes {
 			sum += b.FleetInFlightByPool()[namekey.Of("p")]
 		}
-		assert.InEpsilon(t, f.running(), sum/len(f.boxes), 0.25, "the boxes' average estimate of all requests in flight")
+		assert.InEpsilon(t, f.fleetInFlight(), sum/len(f.boxes), 0.25, "the boxes' average estimate of all requests in flight")
 
 		requester := f.boxes[0]
 		f.network.SetCut(func(from, to string) bool { return from == requester.self.Box || to == requester.self.Box })
 		start := time.Now()
 		ok, release = requester.AcquirePermit(t.Context(), namekey.Of("u"), "d1", 0)
-		assert.True(t, ok, "a box whose request is not answered gets a slot")
+		assert.True(t, ok, "a box whose request is not answered gets a permit")
 		assert.LessOrEqual(t, time.Since(start), 2*permitTimeoutMs.Duration(), "within the timeout")
 		release()
 		assert.Equal(t, int64(1), requester.Sizes().PermitTimeouts)
 	})
 }
 
-// running returns the requests in flight of all boxes.
-func (f *fixture) running() int {
+// fleetInFlight returns the requests in flight of all boxes.
+func (f *fixture) fleetInFlight() int {
 	sum := 0
 	for _, b := range f.boxes {
-		sum += b.runningByPool()[namekey.Of("p")]
+		sum += b.ownInFlightByPool()[namekey.Of("p")]
 	}
 	return sum
 }
 
-func TestRunningOfSmallFleet(t *testing.T) {
+func TestInFlightByPoolOfSmallFleet(t *testing.T) {
 	runInBubble(t, func(f *fixture) {
 		f.start("d")
 		f.start("d")
@@ -121,7 +121,7 @@
 	})
 }
 
-func TestSlotMessages(t *testing.T) {
+func TestPermitMessages(t *testing.T) {
 	t.Run("are small", func(t *testing.T) {
 		for _, p := range []permitMessage{
 			{Kind: permitAcquire, Number: 1 << 31, Upstream: 1 << 31, Bound: 300},
--- a/internal/occupancy/occupancy.go
+++ b/internal/occupancy/occupancy.go
@@ -93,7 +93,7 @@
 // Sizes holds counts for metrics.
 type Sizes struct {
 	Upstreams int `json:"upstreams"`
-	Permits    int `json:"places"`
+	Permits   int `json:"places"`
 }
 
 // Sizes returns counts for metrics.
--- a/internal/opaque/upstream_status.go
+++ b/internal/opaque/signals.go
@@ -9,10 +9,10 @@
 	BackoffMs clock.Millis
 	// Draining is set when the upstream is about to shut down.
 	Draining bool
-	// InFlight is the number of requests that the upstream runs or has queued. It is valid if TellsLoad
+	// InFlight is the number of requests that the upstream runs or has queued. It is valid if HasLoad
 	// is set.
-	InFlight     int
-	HasLoad bool
+	InFlight int
+	HasLoad  bool
 	// Err describes the malformed status headers, if any.
 	Err error
 }
--- a/internal/pipe/dispatch/dispatch.go
+++ b/internal/pipe/dispatch/dispatch.go
@@ -41,7 +41,7 @@
 	QuarantineRemainingMs func(fingerprint quarantine.Fingerprint) clock.Millis
 	// CheckBeforeSend returns an error if the box may not send the request now.
 	CheckBeforeSend func(r *opaque.Request) error
-	Clock clock.Clock
+	Clock           clock.Clock
 }
 
 // Pipe sends opaque requests to upstreams.
--- a/internal/pipe/dispatch/failure.go
+++ b/internal/pipe/dispatch/failure.go
@@ -29,14 +29,14 @@
 
 // Retry decisions; their texts are values of the log.
 const (
-	retryAllowed        retryDecision = "another attempt"
-	stopCallerDisconnected      retryDecision = "none: the caller left"
-	stopDeadline        retryDecision = "none: no time left"
-	stopResponseStarted retryDecision = "none: the answer has begun"
-	stopMayHaveRun      retryDecision = "none: it may have run and may not run twice"
-	stopMaxAttempts     retryDecision = "none: the route's attempts are used up"
-	stopQuarantined     retryDecision = "none: upstreams end under this request"
-	stopRetryBudget     retryDecision = "none: the retry budget is used up"
+	retryAllowed           retryDecision = "another attempt"
+	stopCallerDisconnected retryDecision = "none: the caller left"
+	stopDeadline           retryDecision = "none: no time left"
+	stopResponseStarted    retryDecision = "none: the answer has begun"
+	stopMayHaveRun         retryDecision = "none: it may have run and may not run twice"
+	stopMaxAttempts        retryDecision = "none: the route's attempts are used up"
+	stopQuarantined        retryDecision = "none: upstreams end under this request"
+	stopRetryBudget        retryDecision = "none: the retry budget is used up"
 )
 
 // failure is the result of an attempt after which the caller does not have a complete response.
--- a/internal/pipe/dispatch/observation.go
+++ b/internal/pipe/dispatch/observation.go
@@ -26,7 +26,7 @@
 
 // Observation is the evidence from one attempt.
 type Observation struct {
-	Evidence        Evidence
+	Evidence    Evidence
 	Member      *balance.Member
 	Fingerprint quarantine.Fingerprint
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -57,7 +57,7 @@
 	// draining and models are the upstream's last report about itself. models is nil before the first
 	// report.
 	draining bool
-	models  []string
+	models   []string
 }
 
 // place is a position in the view of a pool.
@@ -66,7 +66,7 @@
 	position int
 }
 
-// closed reports whether the upstream accepts no new work of the pool, because it is leaving or
+// closed reports whether the upstream accepts no new work of the pool, because it is draining or
 // draining or no longer has the pool's model loaded.
 func (p place) closed() bool {
 	u := p.pool.members[p.position]
@@ -235,7 +235,7 @@
 		Reported:    u.reported,
 		Slots:       u.row.Slots,
 		Ejected:     u.health.Ejected(now),
-		Draining:     u.row.Draining || m.fleet.Draining[u.row.Name],
+		Draining:    u.row.Draining || m.fleet.Draining[u.row.Name],
 	}
 }
 
@@ -318,15 +318,15 @@
 	}
 }
 
-// ReportState records whether an engine is leaving and which models it has loaded.
-func (m *Manager) ReportState(name string, leaving bool, models []string) {
+// ReportState records whether an engine is draining and which models it has loaded.
+func (m *Manager) ReportState(name string, draining bool, models []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	u := m.upstreams[name]
 	if u == nil {
 		return
 	}
-	u.draining = leaving
+	u.draining = draining
 	u.models = append([]string{}, models...)
 }
 
@@ -338,7 +338,7 @@
 	Reported int    `json:"reported"`
 	Weight   int    `json:"weight"`
 	Ejected  bool   `json:"ejected"`
-	Draining  bool   `json:"leaving"`
+	Draining bool   `json:"leaving"`
 }
 
 // Loads returns the state of all upstreams, sorted by name.
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine tracks which requests were running on upstreams that terminated. A request that
-// terminates every upstream that starts to run it is recognised when the caller retries it, and is
+// Package quarantine tracks which requests were running on upstreams that crashed. A request that
+// crashes every upstream that starts to run it is recognised when the caller retries it, and is
 // rejected for some time.
 package quarantine
 
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -12,23 +12,23 @@
 
 // Settings configure when a fingerprint is quarantined. They may change at run time.
 type Settings struct {
-	// MinCrashes is the number of terminated upstreams from which a fingerprint is quarantined. Values
+	// MinCrashes is the number of crashed upstreams from which a fingerprint is quarantined. Values
 	// below 1 disable the quarantine.
 	MinCrashes int
-	// HoldMs is how long a fingerprint stays quarantined after the latest termination.
+	// HoldMs is how long a fingerprint stays quarantined after the latest crash.
 	HoldMs clock.Millis
 }
 
-// retentionMs is how long the terminations of a fingerprint are kept after the latest one. It is
-// longer than the quarantine, so that a single further termination starts the next quarantine.
+// retentionMs is how long the crashes of a fingerprint are kept after the latest one. It is
+// longer than the quarantine, so that a single further crash starts the next quarantine.
 func (s Settings) retentionMs() clock.Millis { return retentionHolds * s.HoldMs }
 
-// CrashEvent is an event that boxes exchange: an upstream terminated while it ran a request with this
+// CrashEvent is an event that boxes exchange: an upstream crashed while it ran a request with this
 // fingerprint, or an upstream answered such a request completely.
 type CrashEvent struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint Fingerprint
-	// Upstream is the incarnation that terminated.
+	// Upstream is the incarnation that crashed.
 	Upstream namekey.Key
 	// Answered is set if an upstream answered the request completely.
 	Answered bool
@@ -38,29 +38,29 @@
 
 // Limits of a ledger.
 const (
-	// maxFingerprints limits the number of fingerprints, which take about 0.2 KB each. A terminated
-	// upstream adds one fingerprint for each request that it ran; a series of 45 terminations among
+	// maxFingerprints limits the number of fingerprints, which take about 0.2 KB each. A crashed
+	// upstream adds one fingerprint for each request that it ran; a series of 45 crashes among
 	// 112 engines added 540.
 	maxFingerprints = 4096
-	// retentionHolds is how long terminations are kept, as a multiple of the hold time.
+	// retentionHolds is how long crashes are kept, as a multiple of the hold time.
 	retentionHolds = 2
-	// answeredGraceMs is how long terminations are not attributed to a fingerprint after it was
-	// answered. A request that terminates upstreams is never answered. Callers that repeat the same
-	// request often, such as a status poll, have one running whenever an upstream terminates.
+	// answeredGraceMs is how long crashes are not attributed to a fingerprint after it was
+	// answered. A request that crashes upstreams is never answered. Callers that repeat the same
+	// request often, such as a status poll, have one running whenever an upstream crashes.
 	answeredGraceMs = 60 * clock.Second
 )
 
-// Ledger records the upstreams that terminated, by the fingerprints of the requests that they ran.
-// An answer clears the terminations of its fingerprint that precede it. A Ledger is safe for
+// Ledger records the upstreams that crashed, by the fingerprints of the requests that they ran.
+// An answer clears the crashes of its fingerprint that precede it. A Ledger is safe for
 // concurrent use.
 //
-// Without the ledger, a request that terminates every upstream that starts to run it and is retried
+// Without the ledger, a request that crashes every upstream that starts to run it and is retried
 // again and again is forwarded on each retry (20 of 20). With it, 3 of 40 retries are forwarded when
-// they go to three boxes in turn (TestFatalRequest). Each termination also breaks all other requests
+// they go to three boxes in turn (TestFatalRequest). Each crash also breaks all other requests
 // on that upstream, up to eleven streams in the logs of six boxes.
 type Ledger struct {
-	monotonic   func() clock.Millis
-	settings func() Settings
+	monotonic func() clock.Millis
+	settings  func() Settings
 
 	mu           sync.Mutex
 	fingerprints map[Fingerprint]crashes
@@ -68,14 +68,14 @@
 	events       eventLog
 }
 
-// record describes the termination of one upstream while it ran a request with a fingerprint.
+// record describes the crash of one upstream while it ran a request with a fingerprint.
 type record struct {
 	atMs clock.Millis
-	// published is set once the termination is in this box's event log.
+	// published is set once the crash is in this box's event log.
 	published bool
 }
 
-// crashes holds the terminations of one fingerprint by upstream incarnation.
+// crashes holds the crashes of one fingerprint by upstream incarnation.
 type crashes map[namekey.Key]record
 
 // New returns an empty ledger. firstSeq is the sequence number of its first event. It must be
@@ -90,17 +90,17 @@
 // Settings returns the current settings.
 func (l *Ledger) Settings() Settings { return l.settings() }
 
-// RecordCrash records that an upstream terminated while it ran a request with the fingerprint. It reports
+// RecordCrash records that an upstream crashed while it ran a request with the fingerprint. It reports
 // whether this starts a quarantine of the fingerprint.
-func (l *Ledger) RecordCrash(fingerprint Fingerprint, upstream namekey.Key) (held bool) {
+func (l *Ledger) RecordCrash(fingerprint Fingerprint, upstream namekey.Key) (quarantined bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.record(fingerprint, upstream, l.monotonic(), true)
 }
 
-// record records a termination. If publish is set, the termination is added to this box's
+// record records a crash. If publish is set, the crash is added to this box's
 // event log at once.
-func (l *Ledger) record(fingerprint Fingerprint, upstream namekey.Key, at clock.Millis, publish bool) (held bool) {
+func (l *Ledger) record(fingerprint Fingerprint, upstream namekey.Key, at clock.Millis, publish bool) (quarantined bool) {
 	if l.answered.seenAfter(fingerprint, at-answeredGraceMs) {
 		return false
 	}
@@ -121,13 +121,13 @@
 	return before == 0 && l.remainingMs(known) > 0
 }
 
-// minRelayedCrashes is the number of terminations of a fingerprint from which a box relays those
-// that it learned from other boxes. Below it, only the boxes that observed a termination publish it:
-// relaying every termination cost each of 64 boxes 1,735 bytes per termination instead of 84
-// (TestEndingBytes).
+// minRelayedCrashes is the number of crashes of a fingerprint from which a box relays those
+// that it learned from other boxes. Below it, only the boxes that observed a crash publish it:
+// relaying every crash cost each of 64 boxes 1,735 bytes per crash instead of 84
+// (TestCrashEventBytes).
 const minRelayedCrashes = 2
 
-// publish adds the terminations that are not yet published to this box's event log.
+// publish adds the crashes that are not yet published to this box's event log.
 func (l *Ledger) publish(fingerprint Fingerprint, known crashes) {
 	for _, upstream := range slices.Sorted(maps.Keys(known)) {
 		r := known[upstream]
@@ -147,7 +147,7 @@
 	return l.clearAnswered(fingerprint, l.monotonic())
 }
 
-// clearAnswered removes the terminations up to the time of an answer.
+// clearAnswered removes the crashes up to the time of an answer.
 func (l *Ledger) clearAnswered(fingerprint Fingerprint, at clock.Millis) (released bool) {
 	l.answered.mark(fingerprint, at)
 	known := l.fingerprints[fingerprint]
@@ -167,7 +167,7 @@
 // RecordEvents merges events received from another box. If passOn is set, they are relayed in any case, as
 // needed in a fleet that is too large for each box to reach all others. It returns the fingerprints
 // whose quarantine this starts.
-func (l *Ledger) RecordEvents(list []CrashEvent, passOn bool) (held []Fingerprint) {
+func (l *Ledger) RecordEvents(list []CrashEvent, passOn bool) (quarantined []Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now, retention := l.monotonic(), l.settings().retentionMs()
@@ -178,10 +178,10 @@
 		case e.Answered:
 			l.clearAnswered(e.Fingerprint, at)
 		case l.record(e.Fingerprint, e.Upstream, at, passOn):
-			held = append(held, e.Fingerprint)
+			quarantined = append(quarantined, e.Fingerprint)
 		}
 	}
-	return held
+	return quarantined
 }
 
 // QuarantineRemainingMs returns how much longer a fingerprint is quarantined, or 0.
@@ -207,12 +207,12 @@
 	return l.events.since(from, limit, l.monotonic())
 }
 
-// Suspect is a fingerprint with the upstreams that terminated while they ran it.
+// Suspect is a fingerprint with the upstreams that crashed while they ran it.
 type Suspect struct {
 	Fingerprint Fingerprint
-	// Upstreams lists the incarnations that terminated.
+	// Upstreams lists the incarnations that crashed.
 	Upstreams []namekey.Key
-	// AgeMs is the time since the latest termination.
+	// AgeMs is the time since the latest crash.
 	AgeMs clock.Millis
 }
 
@@ -223,7 +223,7 @@
 	return l.suspects(func(known crashes) bool { return l.remainingMs(known) > 0 })
 }
 
-// Suspects returns all fingerprints with at least minUpstreams terminations in ascending order.
+// Suspects returns all fingerprints with at least minUpstreams crashes in ascending order.
 func (l *Ledger) Suspects(minUpstreams int) []Suspect {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -244,7 +244,7 @@
 	return list
 }
 
-// Expire removes fingerprints whose latest termination is older than the retention time.
+// Expire removes fingerprints whose latest crash is older than the retention time.
 func (l *Ledger) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -254,21 +254,21 @@
 
 // Sizes holds the sizes of a ledger for metrics.
 type Sizes struct {
-	// Fingerprints is the number of fingerprints with terminations, Held the number of those in
+	// Fingerprints is the number of fingerprints with crashes, Quarantined the number of those in
 	// quarantine.
 	Fingerprints int `json:"fingerprints"`
-	Quarantined         int `json:"held"`
+	Quarantined  int `json:"held"`
 }
 
 // Sizes returns the sizes of the ledger for metrics.
 func (l *Ledger) Sizes() Sizes {
-	held := len(l.Quarantined())
+	quarantined := len(l.Quarantined())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Sizes{Fingerprints: len(l.fingerprints), Quarantined: held}
+	return Sizes{Fingerprints: len(l.fingerprints), Quarantined: quarantined}
 }
 
-// evict keeps the ledger within its limit. It removes fingerprints with the fewest terminations
+// evict keeps the ledger within its limit. It removes fingerprints with the fewest crashes
 // first and, among those, the oldest.
 func (l *Ledger) evict() {
 	if len(l.fingerprints) < maxFingerprints {
@@ -278,7 +278,7 @@
 		x, y := l.fingerprints[a], l.fingerprints[b]
 		return cmp.Or(cmp.Compare(len(x), len(y)), cmp.Compare(x.newest(), y.newest()))
 	})
-	// Half of the entries are removed at once, so that a long series of terminations rarely needs
+	// Half of the entries are removed at once, so that a long series of crashes rarely needs
 	// sorting.
 	for _, fingerprint := range evictionOrder[:maxFingerprints/2] {
 		delete(l.fingerprints, fingerprint)
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -25,60 +25,60 @@
 	return f
 }
 
-// terminate records terminations of upstreams that ran the fingerprint, one second apart.
-func (f *fixture) terminate(upstreams ...string) (held bool) {
+// crash records crashes of upstreams that ran the fingerprint, one second apart.
+func (f *fixture) crash(upstreams ...string) (quarantined bool) {
 	for _, upstream := range upstreams {
 		f.now += clock.Second
-		held = f.RecordCrash(fingerprint, namekey.Of(upstream)) || held
+		quarantined = f.RecordCrash(fingerprint, namekey.Of(upstream)) || quarantined
 	}
-	return held
+	return quarantined
 }
 
 func TestLedger(t *testing.T) {
-	t.Run("quarantines a fingerprint after three terminations", func(t *testing.T) {
+	t.Run("quarantines a fingerprint after three crashes", func(t *testing.T) {
 		f := newFixture()
-		assert.False(t, f.terminate("a", "b"))
+		assert.False(t, f.crash("a", "b"))
 		assert.Zero(t, f.QuarantineRemainingMs(fingerprint))
-		assert.True(t, f.terminate("c"))
+		assert.True(t, f.crash("c"))
 		assert.Equal(t, 60*clock.Second, f.QuarantineRemainingMs(fingerprint))
 		assert.Zero(t, f.QuarantineRemainingMs(fingerprint+1))
 	})
-	t.Run("counts the termination of an upstream once, whichever boxes report it", func(t *testing.T) {
+	t.Run("counts the crash of an upstream once, whichever boxes report it", func(t *testing.T) {
 		f := newFixture()
-		f.terminate("a", "a", "b")
+		f.crash("a", "a", "b")
 		assert.Empty(t, f.RecordEvents([]CrashEvent{{Fingerprint: fingerprint, Upstream: namekey.Of("a")}}, false))
 		assert.Zero(t, f.QuarantineRemainingMs(fingerprint))
 		assert.Equal(t, []Fingerprint{fingerprint}, f.RecordEvents([]CrashEvent{{Fingerprint: fingerprint, Upstream: namekey.Of("c")}}, false))
 	})
 	t.Run("starts over after an answer", func(t *testing.T) {
 		f := newFixture()
-		f.terminate("a", "b", "c")
+		f.crash("a", "b", "c")
 		assert.True(t, f.RecordAnswer(fingerprint))
 		assert.Zero(t, f.QuarantineRemainingMs(fingerprint))
 	})
-	t.Run("keeps terminations after an answer that is reported late", func(t *testing.T) {
+	t.Run("keeps crashes after an answer that is reported late", func(t *testing.T) {
 		f := newFixture()
-		f.terminate("a", "b", "c")
+		f.crash("a", "b", "c")
 		f.RecordEvents([]CrashEvent{{Fingerprint: fingerprint, Answered: true, AgeMs: 1500}}, false)
 		assert.Len(t, f.Suspects(1)[0].Upstreams, 2)
 	})
-	t.Run("ignores terminations shortly after an answer", func(t *testing.T) {
+	t.Run("ignores crashes shortly after an answer", func(t *testing.T) {
 		f := newFixture()
 		f.RecordAnswer(fingerprint)
-		assert.False(t, f.terminate("a", "b", "c"))
+		assert.False(t, f.crash("a", "b", "c"))
 		f.now += answeredGraceMs
-		assert.True(t, f.terminate("d", "e", "f"))
+		assert.True(t, f.crash("d", "e", "f"))
 	})
-	t.Run("ends the quarantine after the hold time and starts it again after one more termination", func(t *testing.T) {
+	t.Run("ends the quarantine after the hold time and starts it again after one more crash", func(t *testing.T) {
 		f := newFixture()
-		f.terminate("a", "b", "c")
+		f.crash("a", "b", "c")
 		f.now += 60 * clock.Second
 		assert.Zero(t, f.QuarantineRemainingMs(fingerprint))
-		assert.True(t, f.terminate("d"))
+		assert.True(t, f.crash("d"))
 	})
 	t.Run("removes expired fingerprints", func(t *testing.T) {
 		f := newFixture()
-		f.terminate("a", "b", "c")
+		f.crash("a", "b", "c")
 		f.now += 120 * clock.Second
 		f.Expire()
 		assert.Equal(t, Sizes{}, f.Sizes())
@@ -90,14 +90,14 @@
 	})
 	t.Run("quarantines nothing when it is disabled", func(t *testing.T) {
 		f := newFixture()
-		f.terminate("a", "b", "c")
+		f.crash("a", "b", "c")
 		f.settings.MinCrashes = 0
 		assert.Zero(t, f.QuarantineRemainingMs(fingerprint))
 		assert.Empty(t, f.Quarantined())
 	})
 	t.Run("stays within its limit and keeps quarantined fingerprints", func(t *testing.T) {
 		f := newFixture()
-		f.terminate("a", "b", "c")
+		f.crash("a", "b", "c")
 		for i := range 3 * maxFingerprints {
 			f.RecordCrash(Fingerprint(1000+i), 1)
 		}
@@ -109,7 +109,7 @@
 func TestEvents(t *testing.T) {
 	t.Run("are returned from a sequence number on, with their ages", func(t *testing.T) {
 		f := newFixture()
-		f.terminate("a", "b")
+		f.crash("a", "b")
 		f.RecordAnswer(fingerprint)
 		list, to := f.EventsSince(0, 2)
 		assert.Equal(t, []CrashEvent{
@@ -121,7 +121,7 @@
 		list, _ = f.EventsSince(to, 2)
 		assert.Empty(t, list)
 	})
-	t.Run("of other boxes are relayed from the second termination on", func(t *testing.T) {
+	t.Run("of other boxes are relayed from the second crash on", func(t *testing.T) {
 		f := newFixture()
 		f.RecordEvents([]CrashEvent{{Fingerprint: fingerprint, Upstream: 1}}, false)
 		list, _ := f.EventsSince(0, 9)
@@ -140,7 +140,7 @@
 	})
 	t.Run("are all returned for a sequence number that was never assigned", func(t *testing.T) {
 		f := newFixture()
-		f.terminate("a")
+		f.crash("a")
 		list, _ := f.EventsSince(1<<40, 9)
 		assert.Len(t, list, 1)
 	})
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -51,7 +51,7 @@
 	Upstream Upstream `json:"upstream"`
 	// Removed is set when the upstream's entry was removed. Only the ID is used in this case.
 	Removed bool `json:"gone,omitempty"`
-	// Unusable is set together with Gone when an entry exists but does not describe a usable
+	// Unusable is set together with Removed when an entry exists but does not describe a usable
 	// upstream. Such an upstream does not reappear when the store that holds the entry
 	// recovers.
 	Unusable bool `json:"-"`
@@ -298,8 +298,8 @@
 	// Position is the newest position that the update covers.
 	Position position.Position `json:"position"`
 	// Complete is set when Changes is the complete list of upstreams.
-	Complete   bool     `json:"whole,omitempty"`
-	Changes []Change `json:"changes,omitempty"`
+	Complete bool     `json:"whole,omitempty"`
+	Changes  []Change `json:"changes,omitempty"`
 }
 
 // Since returns the changes after a position, or the complete list of upstreams when the
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestReplace(t *testing.T) {
+func TestApplySnapshot(t *testing.T) {
 	t.Run("an upstream missing from the list is removed", func(t *testing.T) {
 		f := newFixture()
 		f.Apply([]Change{put("a", 1), put("b", 2)})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -52,7 +52,7 @@
 var errBusy = apierror.New(http.StatusServiceUnavailable, "busy", "too many long replies at once")
 
 // Handler serves the routing state and the upstreams to other boxes.
-func Handler(belief *routing.StateTracker, upstreams *registry.Registry) http.Handler {
+func Handler(tracker *routing.StateTracker, upstreams *registry.Registry) http.Handler {
 	mux := http.NewServeMux()
 	cache := &replyCache{}
 	longReplies := make(chan struct{}, maxLongReplies)
@@ -63,7 +63,7 @@
 			apierror.New(http.StatusBadRequest, "bad_query", err.Error()).Write(w)
 			return
 		}
-		out := reply(belief, upstreams, version, after)
+		out := reply(tracker, upstreams, version, after)
 		if len(out.Upstreams.Changes) > longReplyChanges {
 			select {
 			case longReplies <- struct{}{}:
@@ -96,10 +96,10 @@
 	return after, err
 }
 
-func reply(belief *routing.StateTracker, upstreams *registry.Registry, version int64, after position.Position) Reply {
+func reply(tracker *routing.StateTracker, upstreams *registry.Registry, version int64, after position.Position) Reply {
 	out := Reply{Upstreams: upstreams.Since(after)}
-	if state := belief.State(); state != nil {
-		out.Version, out.Era = state.Version(), belief.StateEra()
+	if state := tracker.State(); state != nil {
+		out.Version, out.Era = state.Version(), tracker.StateEra()
 		if state.Version() > version {
 			content := state.Content()
 			out.State = &content
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,17 +23,17 @@
 	t.Helper()
 	state, err := routing.New(routing.Content{Version: 7})
 	require.NoError(t, err)
-	belief, r := routing.NewStateTracker(monotonic), registry.New(monotonic)
-	belief.Adopt(state, 0)
+	tracker, r := routing.NewStateTracker(monotonic), registry.New(monotonic)
+	tracker.Adopt(state, 0)
 	for i := range upstreams {
 		r.Apply([]registry.Change{{Upstream: registry.Upstream{ID: fmt.Sprint("u", i)}, Position: position.At(0, int64(i+1))}})
 	}
-	return belief, r
+	return tracker, r
 }
 
 func TestFetch(t *testing.T) {
-	belief, r := newState(t, 3)
-	server := httptest.NewServer(Handler(belief, r))
+	tracker, r := newState(t, 3)
+	server := httptest.NewServer(Handler(tracker, r))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 	c := NewClient(nil)
@@ -44,14 +44,14 @@
 		assert.Len(t, reply.Upstreams.Changes, 2)
 	})
 	t.Run("returns each new state and upstream", func(t *testing.T) {
-		belief, r := newState(t, 3)
-		server := httptest.NewServer(Handler(belief, r))
+		tracker, r := newState(t, 3)
+		server := httptest.NewServer(Handler(tracker, r))
 		defer server.Close()
 		address := strings.TrimPrefix(server.URL, "http://")
 		for version := range int64(3 * maxCachedReplies) {
 			state, err := routing.New(routing.Content{Version: 10 + version})
 			require.NoError(t, err)
-			belief.Adopt(state, 0)
+			tracker.Adopt(state, 0)
 			r.Apply([]registry.Change{{Upstream: registry.Upstream{ID: fmt.Sprint("later", version)}, Position: position.At(0, 10+version)}})
 			for range 2 {
 				reply, err := c.Fetch(t.Context(), address, 0, position.At(0, 3))
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -23,7 +23,7 @@
 // Values of Explanation.Reason.
 const (
 	ReasonOpen     = "open"
-	ReasonLeaving  = "leaving"
+	ReasonDraining  = "leaving"
 	ReasonEjected  = "ejected"
 	ReasonNoWeight = "weight is 0"
 	ReasonSlots    = "at this box's part of its slots"
@@ -61,7 +61,7 @@
 	m := &v.Members[position]
 	switch {
 	case m.Draining:
-		return ReasonLeaving
+		return ReasonDraining
 	case m.Ejected:
 		return ReasonEjected
 	case m.Weight <= 0:
--- a/internal/route/view.go
+++ b/internal/route/view.go
@@ -184,9 +184,9 @@
 	v.Members[index].OwnAtReport = ownAtReport
 }
 
-// SetDraining sets whether a member is leaving and accepts no new work.
-func (v *View) SetDraining(index int, leaving bool) {
-	v.Members[index].Draining = leaving
+// SetDraining sets whether a member is draining and accepts no new work.
+func (v *View) SetDraining(index int, draining bool) {
+	v.Members[index].Draining = draining
 	v.refreshWeights()
 }
 
@@ -200,7 +200,7 @@
 }
 
 // SetEjected sets whether a member is ejected because of failures. At most panicPercent of the
-// members that are not leaving can be ejected at a time. Beyond that, the call has no effect.
+// members that are not draining can be ejected at a time. Beyond that, the call has no effect.
 func (v *View) SetEjected(index int, ejected bool, panicPercent int) {
 	if v.Members[index].Ejected == ejected {
 		return
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestBelief(t *testing.T) {
+func TestStateTracker(t *testing.T) {
 	now := clock.Millis(1000)
 	b := NewStateTracker(func() clock.Millis { return now })
 	t.Run("ignores a lower version", func(t *testing.T) {
--- a/internal/routing/belief.go
+++ b/internal/routing/state_tracker.go
@@ -24,8 +24,8 @@
 // StateTracker holds a box's current routing state, and the time at which it was last confirmed to
 // be the newest. Readers never block.
 type StateTracker struct {
-	monotonic  func() clock.Millis
-	adopted atomic.Pointer[adopted]
+	monotonic func() clock.Millis
+	adopted   atomic.Pointer[adopted]
 	// confirmed is the newest confirmation that the current state was the newest one written by
 	// the operators.
 	confirmed atomic.Pointer[Confirmation]
@@ -45,20 +45,22 @@
 	era   int64
 }
 
-// NewStateTracker returns a Belief without a state.
-func NewStateTracker(monotonic func() clock.Millis) *StateTracker { return &StateTracker{monotonic: monotonic} }
+// NewStateTracker returns a StateTracker without a state.
+func NewStateTracker(monotonic func() clock.Millis) *StateTracker {
+	return &StateTracker{monotonic: monotonic}
+}
 
 // State returns the current state, or nil if there is none yet.
-func (b *StateTracker) State() *State {
-	if h := b.adopted.Load(); h != nil {
+func (t *StateTracker) State() *State {
+	if h := t.adopted.Load(); h != nil {
 		return h.state
 	}
 	return nil
 }
 
 // StateEra returns the newest era in which the store reported the current state.
-func (b *StateTracker) StateEra() int64 {
-	if h := b.adopted.Load(); h != nil {
+func (t *StateTracker) StateEra() int64 {
+	if h := t.adopted.Load(); h != nil {
 		return h.era
 	}
 	return 0
@@ -67,9 +69,9 @@
 // Adopt makes a state reported by the store in an era the current one, unless the current one
 // is at least as new. It reports whether the current state was replaced. A version lower than
 // the current one is ignored, even after the store was restored from an older copy.
-func (b *StateTracker) Adopt(s *State, era int64) bool {
+func (t *StateTracker) Adopt(s *State, era int64) bool {
 	for {
-		old := b.adopted.Load()
+		old := t.adopted.Load()
 		newer := old == nil || old.state.version < s.version
 		if !newer && (old.state.version > s.version || old.era >= era) {
 			return false
@@ -78,7 +80,7 @@
 		if !newer {
 			next.state = old.state
 		}
-		if b.adopted.CompareAndSwap(old, next) {
+		if t.adopted.CompareAndSwap(old, next) {
 			return newer
 		}
 	}
@@ -86,62 +88,62 @@
 
 // ObserveEra records an era of the store. If the store has been restored from an older copy since
 // the last call, it returns the previous era and true.
-func (b *StateTracker) ObserveEra(era int64) (before int64, restored bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.eraKnown && era <= b.newestEra {
+func (t *StateTracker) ObserveEra(era int64) (before int64, restored bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.eraKnown && era <= t.newestEra {
 		return 0, false
 	}
-	before, restored = b.newestEra, b.eraKnown
-	b.newestEra, b.eraKnown = era, true
+	before, restored = t.newestEra, t.eraKnown
+	t.newestEra, t.eraKnown = era, true
 	if restored {
-		b.resettledMs = b.monotonic() + resettleMs
+		t.resettledMs = t.monotonic() + resettleMs
 	}
 	return before, restored
 }
 
 // operatorsMayRewrite reports whether, at a point in time in an era, operators may still have
 // to write again what the restored store lost.
-func (b *StateTracker) operatorsMayRewrite(era int64, atMs clock.Millis) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return era >= b.newestEra && atMs < b.resettledMs
+func (t *StateTracker) operatorsMayRewrite(era int64, atMs clock.Millis) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return era >= t.newestEra && atMs < t.resettledMs
 }
 
 // Confirm records a confirmation. A confirmation of a version lower than the current one
 // counts only if its era is not newer than the current state's, because a restored store may
 // hold a lower version.
-func (b *StateTracker) Confirm(p Confirmation) {
-	h := b.adopted.Load()
+func (t *StateTracker) Confirm(p Confirmation) {
+	h := t.adopted.Load()
 	switch {
 	case h == nil || h.state.version < p.Version:
 		return
 	case h.state.version > p.Version && h.era < p.Era:
 		return
-	case b.operatorsMayRewrite(p.Era, p.AtMs):
+	case t.operatorsMayRewrite(p.Era, p.AtMs):
 		return
 	}
 	for {
-		old := b.confirmed.Load()
-		if old != nil && p.AtMs <= old.AtMs || b.confirmed.CompareAndSwap(old, &p) {
+		old := t.confirmed.Load()
+		if old != nil && p.AtMs <= old.AtMs || t.confirmed.CompareAndSwap(old, &p) {
 			return
 		}
 	}
 }
 
 // Confirmed returns the newest confirmation, if any.
-func (b *StateTracker) Confirmed() (p Confirmation, ok bool) {
-	if newest := b.confirmed.Load(); newest != nil {
+func (t *StateTracker) Confirmed() (p Confirmation, ok bool) {
+	if newest := t.confirmed.Load(); newest != nil {
 		return *newest, true
 	}
 	return Confirmation{}, false
 }
 
 // ConfirmedMs returns the monotonic time of the newest confirmation, or 0 if there is none.
-func (b *StateTracker) ConfirmedMs() clock.Millis {
-	p, _ := b.Confirmed()
+func (t *StateTracker) ConfirmedMs() clock.Millis {
+	p, _ := t.Confirmed()
 	return p.AtMs
 }
 
 // AgeMs returns the time since the current state was last confirmed to be the newest.
-func (b *StateTracker) AgeMs() clock.Millis { return b.monotonic() - b.ConfirmedMs() }
+func (t *StateTracker) AgeMs() clock.Millis { return t.monotonic() - t.ConfirmedMs() }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -76,7 +76,7 @@
 	mu           sync.Mutex
 	models       []string
 	faults       EngineFaults
-	leaving      bool
+	draining     bool
 	running      int
 	queue        []*waiter
 	cache        *prefixCache
@@ -191,11 +191,11 @@
 	return e.trace
 }
 
-// SetLeaving sets whether the engine reports that it is draining.
-func (e *Engine) SetLeaving(leaving bool) {
+// SetDraining sets whether the engine reports that it is draining.
+func (e *Engine) SetDraining(draining bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving = leaving
+	e.draining = draining
 }
 
 // EngineCounts counts what an engine has done.
@@ -358,7 +358,7 @@
 func (e *Engine) currentLoad() engine.Load {
 	return engine.Load{
 		InFlight: e.running, Queued: len(e.queue), Slots: e.speed.Slots,
-		Models: slices.Clone(e.models), Draining: e.leaving, AtMs: e.clock.Now(),
+		Models: slices.Clone(e.models), Draining: e.draining, AtMs: e.clock.Now(),
 	}
 }
 
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -64,9 +64,9 @@
 
 // Client manages the connections to one upstream. It is safe for concurrent use.
 type Client struct {
-	address string
-	monotonic  func() clock.Millis
-	dial    Dial
+	address   string
+	monotonic func() clock.Millis
+	dial      Dial
 
 	mu     sync.Mutex
 	idle   []*conn
@@ -213,7 +213,7 @@
 	return newConn(raw), nil
 }
 
-// HostReachableTimeoutMs is how long Reach waits for a connection, about thirty round trips between failure
+// HostReachableTimeoutMs is how long HostReachable waits for a connection, about thirty round trips between failure
 // domains.
 const HostReachableTimeoutMs clock.Millis = 100
 
--- a/pkg/config/config.go
+++ b/pkg/config/config.go
@@ -72,7 +72,7 @@
 	LogURL string `yaml:"log_url"`
 	// WeightStoreURL is the URL of the weight store.
 	WeightStoreURL string `yaml:"weight_store_url"`
-	// BoxListURL is the URL of the list of live and leaving boxes, which may lag behind.
+	// BoxListURL is the URL of the list of live and draining boxes, which may lag behind.
 	BoxListURL string `yaml:"box_list_url"`
 	// TimeoutMs is the timeout of each call.
 	TimeoutMs int64 `yaml:"timeout_ms"`
--- a/pkg/config/gateway.go
+++ b/pkg/config/gateway.go
@@ -31,7 +31,7 @@
 	Freshness Freshness `yaml:"freshness"`
 	Balance   Balance   `yaml:"balance"`
 	Budget    Budget    `yaml:"retry_budget"`
-	// Quarantine holds back requests that coincide with crashes of upstreams.
+	// Quarantine configures the quarantine of requests that coincide with crashes of upstreams.
 	Quarantine Quarantine `yaml:"quarantine"`
 	Shutdown   Shutdown   `yaml:"shutdown"`
 	Capacity   Capacity   `yaml:"capacity"`
@@ -92,15 +92,15 @@
 	WindowS float64 `yaml:"window_s"`
 }
 
-// Quarantine configures when a repeated request is held back because upstreams crash while
+// Quarantine configures when a repeated request is quarantined because upstreams crash while
 // they run it.
 type Quarantine struct {
-	// MinCrashes is the number of crashed upstreams after which a request is held back. The
+	// MinCrashes is the number of crashed upstreams after which a request is quarantined. The
 	// default is 3: an innocent request that ran on a crashed upstream sometimes meets a
 	// second crash, but hardly ever a third one (10 of 47,800 on a day on which 45 of 112
 	// engines crashed). 0 disables the quarantine.
 	MinCrashes *int `yaml:"after_ends"`
-	// HoldMs is how long a request is held back after the most recent crash under it.
+	// HoldMs is how long a request is quarantined after the most recent crash under it.
 	HoldMs int64 `yaml:"hold_ms"`
 }
 
