--- a/internal/balance/manager.go
+++ b/internal/balance/manager.go
@@ -50,8 +50,8 @@
 	retries map[string]*retrySchedule
 	// hotSessions counts the recent requests of each session, by pool.
 	hotSessions map[string]*sessionCounts
-	// fleetInFlightByPool is the number of requests that all boxes run, by pool, in a fleet so large that boxes
-	// don't share their loads by upstream. It is nil in smaller fleets.
+	// fleetInFlightByPool is the number of requests that all boxes run, by pool, in a fleet so
+	// large that boxes don't share their loads by upstream. It is nil in smaller fleets.
 	fleetInFlightByPool map[namekey.Key]int
 	// othersAgeMs is the average age of the load reports from other boxes.
 	othersAgeMs clock.Millis
@@ -62,7 +62,8 @@
 // New returns a manager without upstreams. Monotonic is a monotonic clock, connect creates the client
 // of an upstream, and random returns a number below n.
 func New(
-	settings Settings, monotonic func() clock.Millis, connect func(address string) *upstream.Client, random func(n int) int,
+	settings Settings, monotonic func() clock.Millis, connect func(address string) *upstream.Client,
+	random func(n int) int,
 ) *Manager {
 	return &Manager{
 		settings: settings, monotonic: monotonic, connect: connect, random: random,
--- a/internal/balance/netpath.go
+++ b/internal/balance/netpath.go
@@ -46,7 +46,9 @@
 }
 
 func newNetPath(now clock.Millis) *netPath {
-	p := &netPath{onPartition: map[*Lease]func(){}, dialErrors: map[string]clock.Millis{}, resets: map[string]clock.Millis{}}
+	p := &netPath{
+		onPartition: map[*Lease]func(){}, dialErrors: map[string]clock.Millis{}, resets: map[string]clock.Millis{},
+	}
 	p.lastContactMs.Store(int64(now))
 	return p
 }
--- a/internal/balance/netpath_test.go
+++ b/internal/balance/netpath_test.go
@@ -96,9 +96,9 @@
 		}
 		f.now += probeIntervalMs
 		assert.Contains(t, dueProbes(f), "d0")
-		outage, changed := f.RecordProbe("d0", true)
+		partition, changed := f.RecordProbe("d0", true)
 		require.True(t, changed)
-		assert.Equal(t, probeIntervalMs, outage)
+		assert.Equal(t, probeIntervalMs, partition)
 		assert.Equal(t, "d0", f.pick(t, PickRequest{Pool: "p"}).FailureDomain)
 	})
 	t.Run("running requests behind a partition are notified once, ended ones never", func(t *testing.T) {
--- a/internal/balance/parts.go
+++ b/internal/balance/parts.go
@@ -87,8 +87,8 @@
 	return a.list[from-oldest : to-oldest], to
 }
 
-// AnnouncementsSince returns up to limit parts that this box had engines prefill, from a number on, and the
-// number to continue from. Numbers start at 0.
+// AnnouncementsSince returns up to limit parts that this box had engines prefill, from a number on,
+// and the number to continue from. Numbers start at 0.
 func (m *Manager) AnnouncementsSince(from int64, limit int) ([]prompt.CachedPart, int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/balance/permits.go
+++ b/internal/balance/permits.go
@@ -27,7 +27,9 @@
 
 // PickWithPermit picks like Pick, and requests a permit at each engine until one is granted.
 // AcquirePermit requests a permit under a bound from the owner of the lease's engine.
-func (m *Manager) PickWithPermit(a PickRequest, acquirePermit func(lease *Lease, bound int) PermitReply) (*Lease, error) {
+func (m *Manager) PickWithPermit(
+	a PickRequest, acquirePermit func(lease *Lease, bound int) PermitReply,
+) (*Lease, error) {
 	for {
 		lease, err := m.Pick(a)
 		if err != nil || lease.bound == 0 {
@@ -63,8 +65,8 @@
 	l.inFlight--
 }
 
-// SetFleetInFlightByPool sets the number of requests that all boxes run, by pool. Nil means that boxes share
-// their loads by upstream.
+// SetFleetInFlightByPool sets the number of requests that all boxes run, by pool. Nil means that
+// boxes share their loads by upstream.
 func (m *Manager) SetFleetInFlightByPool(running map[namekey.Key]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -278,8 +278,8 @@
 	return true
 }
 
-// OnPartition sets a callback that is called once if the path to the upstream becomes partitioned before
-// the lease ends.
+// OnPartition sets a callback that is called once if the path to the upstream becomes partitioned
+// before the lease ends.
 func (l *Lease) OnPartition(callback func()) {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
--- a/internal/balance/probes.go
+++ b/internal/balance/probes.go
@@ -89,17 +89,17 @@
 
 // RecordProbe records the result of a probe: opened is set if any connection was opened, or was refused
 // by a reachable host. It returns how long the path was partitioned, and whether its state changed.
-func (m *Manager) RecordProbe(name string, opened bool) (outageMs clock.Millis, changed bool) {
-	outageMs, changed, callbacks := m.recordProbe(name, opened)
+func (m *Manager) RecordProbe(name string, opened bool) (partitionMs clock.Millis, changed bool) {
+	partitionMs, changed, callbacks := m.recordProbe(name, opened)
 	for _, callback := range callbacks {
 		callback()
 	}
-	return outageMs, changed
+	return partitionMs, changed
 }
 
 // recordProbe records the result of a probe, and returns the callbacks of the requests behind a
 // path that has become partitioned.
-func (m *Manager) recordProbe(name string, opened bool) (outageMs clock.Millis, changed bool, callbacks []func()) {
+func (m *Manager) recordProbe(name string, opened bool) (partitionMs clock.Millis, changed bool, callbacks []func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.monotonic()
@@ -110,14 +110,14 @@
 	switch {
 	case opened:
 		p.lastContactMs.Store(int64(now))
-		outageMs = now - p.partitionedAtMs
+		partitionMs = now - p.partitionedAtMs
 	case changed:
 		p.partitionedAtMs = now
 		m.closeIdleConnections(name)
 		callbacks = slices.Collect(maps.Values(p.onPartition))
 		clear(p.onPartition)
 	}
-	return outageMs, changed, callbacks
+	return partitionMs, changed, callbacks
 }
 
 // probeDue reports whether the path is to be probed now.
--- a/internal/balance/signals.go
+++ b/internal/balance/signals.go
@@ -12,7 +12,7 @@
 var (
 	// ErrBackingOff means that the upstream asked this box to back off.
 	ErrBackingOff = errors.New("the upstream asked this box to back off")
-	// ErrDraining means that the upstream is about to shut down.
+	// ErrDraining means that the upstream has announced that it will shut down.
 	ErrDraining = errors.New("the upstream is draining")
 )
 
@@ -43,8 +43,8 @@
 //
 // Boxes that ignored them sent up to 7 requests during a backoff (more than 2 in 38 to 44 of 189 to
 // 203 backoffs) where half of twelve upstreams shed load, and 136 to 145 requests to four upstreams
-// that had announced their shutdown 2 s before (90 requests a second at six boxes, one run each);
-// with the signals, none.
+// that had announced that they are draining 2 s before (90 requests a second at six boxes, one run
+// each); with the signals, none.
 //
 // A signal applies to the box that received it and is not shared with others. An upstream that
 // wants all boxes to back off signals each of them.
@@ -75,7 +75,7 @@
 	return !s.backingOff(now) && now-s.departedMs > signalsTTLMs
 }
 
-// draining reports whether the upstream is about to shut down, according to its entry or its
+// draining reports whether the upstream is draining, according to its entry or its
 // responses, whichever says so first.
 func (m *Member) draining() bool { return m.Draining || m.signals.shuttingDown }
 
@@ -103,8 +103,8 @@
 	return changed
 }
 
-// MarkDraining records that the upstream announced its shutdown, and reports whether that was not known
-// before.
+// MarkDraining records that the upstream announced that it is draining, and reports whether that
+// was not known before.
 func (l *Lease) MarkDraining() bool {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
@@ -114,7 +114,7 @@
 }
 
 // CheckBeforeSend returns an error if the request must not be sent once its connection is open: the
-// upstream may have asked for a backoff, or announced its shutdown, since it was picked.
+// upstream may have asked for a backoff, or announced that it is draining, since it was picked.
 func (l *Lease) CheckBeforeSend() error {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -44,7 +44,7 @@
 	// FetchFrom is the engine from which to fetch cached prefixes.
 	FetchFrom string
 	// PrefillTokens is the estimated number of tokens of shared prefixes that the engine has
-	// to process itself. ReadWhy is the reason why no engine's cached copy can be used.
+	// to process itself. PrefillReason is the reason why no engine's cached copy can be used.
 	PrefillTokens int
 	PrefillReason string
 	// ResumeAfter is the last event that the caller has received, on a resumed stream.
@@ -96,7 +96,7 @@
 	Next string
 	// BackoffMs is the backoff that the upstream asked of this box, or 0.
 	BackoffMs clock.Millis
-	// Draining is set when the upstream announced that it is shutting down.
+	// Draining is set when the upstream announced that it is draining.
 	Draining bool
 	TookMs   clock.Millis
 }
@@ -197,7 +197,8 @@
 	ID          string
 	Unavailable bool
 	Err         string
-	// UnavailableMs is how long the dependency was unavailable; it is logged when it is available again.
+	// UnavailableMs is how long the dependency was unavailable; it is logged when it is available
+	// again.
 	UnavailableMs clock.Millis
 }
 
@@ -300,11 +301,11 @@
 }
 
 // UpstreamSignaled records the first response in which an upstream asked this box to back off
-// or announced its shutdown.
+// or announced that it is draining.
 type UpstreamSignaled struct {
 	Upstream string
 	Pool     string
-	// BackoffMs is the requested backoff, or 0 if the upstream is shutting down.
+	// BackoffMs is the requested backoff, or 0 if the upstream is draining.
 	BackoffMs clock.Millis
 	// Request is the id of the request whose response carried the signal.
 	Request string
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -16,9 +16,9 @@
 )
 
 // The tests of this file guard against requests to upstreams that have asked for a backoff, in which they want no
-// requests from the box. Five of twelve engines refused everything and asked each box for a backoff of several seconds, but the
-// boxes continued to send there: callers were refused for eight seconds, in some seconds more than a tenth of them,
-// although most engines of the pool had capacity.
+// requests from the box. Five of twelve engines refused everything and asked each box for a backoff of several seconds,
+// but the boxes continued to send there: callers were refused for eight seconds, in some seconds more than a tenth of
+// them, although most engines of the pool had capacity.
 //
 // It happened because a box used only what upstreams report in the store, and ignored their responses. An upstream that
 // refuses all requests holds none, so it looked the least loaded and stayed the first choice of its sessions until its
--- a/internal/gateway/box.go
+++ b/internal/gateway/box.go
@@ -138,7 +138,7 @@
 	window := clock.Millis(settings.Budget.WindowS * float64(clock.Second))
 	b.budgets = retry.NewBudgets(int(usablePercent*sustainedShare), retryReserve(settings.Budget.Slack),
 		retry.WithBank(int(usablePercent*(1-sustainedShare)), window, b.clock.Monotonic))
-	b.metrics.Publish("routing_state", func() any { return b.meshKnowledge() })
+	b.metrics.Publish("routing_state", func() any { return b.stateSummary() })
 	b.metrics.Publish("lines_dropped", func() any { return b.log.DroppedLines() })
 	b.quarantine = quarantine.New(b.clock.Monotonic, b.quarantineSettings, int64(b.clock.Now()))
 	b.metrics.Publish("quarantine", func() any { return b.quarantine.Sizes() })
@@ -150,8 +150,8 @@
 	b.buildSteps()
 }
 
-// meshKnowledge returns what the box currently knows, for other boxes and for metrics.
-func (b *Box) meshKnowledge() mesh.StateSummary {
+// stateSummary returns what the box currently knows, for other boxes and for metrics.
+func (b *Box) stateSummary() mesh.StateSummary {
 	k := mesh.StateSummary{Position: b.registry.Position(), AgeMs: -1, StoreUnavailable: b.storeUnavailable.Load()}
 	if state := b.routingState.State(); state != nil {
 		k.Version = state.Version()
--- a/internal/gateway/crash_detector.go
+++ b/internal/gateway/crash_detector.go
@@ -49,9 +49,9 @@
 	probing bool
 }
 
-// crashDetector detects upstreams that crashed while they ran requests. If the host refuses new connections right after some
-// broke, the upstream has crashed. If the host does not respond, the crash is detected when the upstream's registry
-// entry disappears. After a mere connection reset, new connections open.
+// crashDetector detects upstreams that crashed while they ran requests. If the host refuses new connections right after
+// some broke, the upstream has crashed. If the host does not respond, the crash is detected when the upstream's
+// registry entry disappears. After a mere connection reset, new connections open.
 type crashDetector struct {
 	box      *Box
 	observed chan dispatch.Observation
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -58,7 +58,8 @@
 	network *testlib.Network
 	store   *store
 	clock   clock.Clock
-	// monotonicOffsetMs and wallOffsetMs are the offsets of the boxes' monotonic clock and wall clock from the fake clock.
+	// monotonicOffsetMs and wallOffsetMs are the offsets of the boxes' monotonic clock and wall clock from the fake
+	// clock.
 	monotonicOffsetMs, wallOffsetMs atomic.Int64
 	// out receives the boxes' log lines.
 	out io.Writer
--- a/internal/gateway/peering.go
+++ b/internal/gateway/peering.go
@@ -16,13 +16,14 @@
 // ListenPackets opens a UDP socket; tests replace it.
 type ListenPackets func(network, address string) (net.PacketConn, error)
 
-// answerQueueSize is the length of the queue of answers from other boxes: more than arrive in a few gossip rounds.
-const answerQueueSize = 64
+// peerStateQueueSize is the length of the queue of states received from other boxes: more than arrive in a few gossip
+// rounds.
+const peerStateQueueSize = 64
 
 // directReadAgeMs returns the age of the confirmation above which a box reads the store directly. Boxes that read for
 // others don't learn of draining upstreams while their reads get no response, so the age leaves time for a direct read.
 // It is never below the age that a confirmation normally reaches: a reader confirms its state once per poll and is
-// asked once per gossip period, and one answer may be lost.
+// pinged once per gossip period, and one reply may be lost.
 func (p *peering) directReadAgeMs() clock.Millis {
 	settings := p.box.Settings()
 	return timingOf(settings).directReadAgeMs(settings, p.mesh.Period())
@@ -47,7 +48,7 @@
 	}
 	p := &peering{
 		box: b, client: relay.NewClient(b.dial),
-		peerStates: make(chan mesh.PeerState, answerQueueSize), startedMs: b.clock.Monotonic(),
+		peerStates: make(chan mesh.PeerState, peerStateQueueSize), startedMs: b.clock.Monotonic(),
 	}
 	p.mesh = mesh.New(mesh.Dependencies{
 		Self: mesh.Identity{
@@ -55,7 +56,7 @@
 			Incarnation: int64(b.clock.Now()),
 		},
 		Clock: b.clock, PeriodMs: timingOf(*settings).periodMs, Conn: conn,
-		Contacts: p.contacts, StateSummary: b.meshKnowledge, InFlight: b.balance.InFlight,
+		Contacts: p.contacts, StateSummary: b.stateSummary, InFlight: b.balance.InFlight,
 		InFlightByPool:     b.balance.InFlightByPool,
 		AnnouncementsSince: b.balance.AnnouncementsSince, RecordAnnouncements: b.balance.RecordAnnouncements,
 		CrashEventsSince: b.quarantine.EventsSince, RecordCrashEvents: b.crashDetector.recordFromPeer,
@@ -82,7 +83,8 @@
 	return addresses
 }
 
-// enqueue queues an answer. If the queue is full the answer is dropped, since a later one carries the same information.
+// enqueue queues the state of another box. If the queue is full the state is dropped, since a later one carries the
+// same information.
 func (p *peering) enqueue(a mesh.PeerState) {
 	p.box.balance.RecordContact(a.From.FailureDomain)
 	select {
@@ -102,9 +104,9 @@
 	}
 }
 
-// applyPeerState fetches newer state from another box. A confirmation counts from the time at which this box asked for it.
+// applyPeerState fetches newer state from another box. A confirmation counts from the time of the ping that it answers.
 func (p *peering) applyPeerState(ctx context.Context, a mesh.PeerState) {
-	local := p.box.meshKnowledge()
+	local := p.box.stateSummary()
 	if local.Position.IsZero() && p.inInitialRead() {
 		return
 	}
--- a/internal/gateway/pick.go
+++ b/internal/gateway/pick.go
@@ -6,8 +6,8 @@
 	"dooryard.example/dooryard/internal/balance"
 )
 
-// pick chooses an upstream. In a fleet where each engine is owned by a box that limits its load, it also reserves a
-// slot there.
+// pick chooses an upstream. In a fleet where each engine is owned by a box that limits its load, it also acquires a
+// permit there.
 func (b *Box) pick(ctx context.Context, a balance.PickRequest) (*balance.Lease, error) {
 	return b.balance.PickWithPermit(a, func(lease *balance.Lease, bound int) balance.PermitReply {
 		granted, release := b.peering.mesh.AcquirePermit(ctx, lease.Key(), lease.FailureDomain, bound)
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -55,12 +55,15 @@
 }
 
 func (b *Box) newStoreSink(source string) *storeSink {
-	return &storeSink{box: b, source: source, unavailableSince: map[string]clock.Millis{}, lastReadMs: map[string]clock.Millis{}}
+	return &storeSink{
+		box: b, source: source, unavailableSince: map[string]clock.Millis{}, lastReadMs: map[string]clock.Millis{},
+	}
 }
 
 func (s *storeSink) asSink() Sink {
 	return Sink{
-		ShouldRead: s.shouldRead, RelaysReads: s.box.peering.mesh.IsStoreReader, ObserveEra: s.observeEra, Adopt: s.adopt, Confirm: s.confirm,
+		ShouldRead: s.shouldRead, RelaysReads: s.box.peering.mesh.IsStoreReader, ObserveEra: s.observeEra,
+		Adopt: s.adopt, Confirm: s.confirm,
 		Upstreams: s.upstreams, AllUpstreams: s.allUpstreams,
 		Position: s.box.registry.Position, ReportRead: s.reportRead, ReportInvalidInput: s.box.ReportInvalidInput,
 	}
@@ -78,12 +81,12 @@
 	return len(s.lastReadMs) > 0
 }
 
-// lostStoreRetryMs is how often a box that can't read the store, but gets everything from other boxes, retries the
-// store so that it can read for others again. The interval is long because each refused read is charged for.
-const lostStoreRetryMs = 5 * clock.Second
+// unavailableStoreRetryMs is how often a box that can't read the store, but gets everything from other boxes, retries
+// the store so that it can read for others again. The interval is long because each refused read is charged for.
+const unavailableStoreRetryMs = 5 * clock.Second
 
-// shouldRead reports whether a stream is to be read. A box that does not read for others and has lost the store tries only
-// one stream until the store is available again.
+// shouldRead reports whether a stream is to be read. A box that does not read for others and can't read the store tries
+// only one stream until the store is available again.
 func (s *storeSink) shouldRead(stream string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,14 +94,14 @@
 	if needed && s.box.peering.mesh.IsStoreReader() {
 		return true
 	}
-	for lost := range s.unavailableSince {
-		if lost < stream {
+	for unavailable := range s.unavailableSince {
+		if unavailable < stream {
 			return false
 		}
 	}
 	// A box whose reads were refused retries from time to time, even if it needs nothing.
-	_, lost := s.unavailableSince[stream]
-	return needed || lost && s.box.clock.Monotonic()-s.lastFailureMs >= lostStoreRetryMs
+	_, unavailable := s.unavailableSince[stream]
+	return needed || unavailable && s.box.clock.Monotonic()-s.lastFailureMs >= unavailableStoreRetryMs
 }
 
 func (s *storeSink) observeEra(era int64) { s.box.observeEra(era, s.source) }
@@ -147,7 +150,7 @@
 	return max(0, min(removalGraceMs, recoveredMs+recoveryGraceMs-s.box.clock.Monotonic()))
 }
 
-// reportRead records and logs the loss and the recovery of a stream of the store.
+// reportRead records and logs when a stream becomes unavailable and available again of the store.
 func (s *storeSink) reportRead(stream string, err error) {
 	now := s.box.clock.Monotonic()
 	s.mu.Lock()
@@ -156,13 +159,13 @@
 	} else {
 		s.lastReadMs[stream] = now
 	}
-	since, wasLost := s.unavailableSince[stream]
+	since, wasUnavailable := s.unavailableSince[stream]
 	event := decision.Dependency{Dependency: s.source, ID: stream}
 	switch {
-	case err != nil && !wasLost:
+	case err != nil && !wasUnavailable:
 		s.unavailableSince[stream] = now
 		event.Unavailable, event.Err = true, err.Error()
-	case err == nil && wasLost:
+	case err == nil && wasUnavailable:
 		delete(s.unavailableSince, stream)
 		s.recoveredMs = now
 		event.UnavailableMs = now - since
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -55,7 +55,8 @@
 			Pick: b.pick, MayRetry: b.budgets.Take, OnFirstSend: b.budgets.First,
 			StateAgeMs: b.routingState.AgeMs, RecordEvent: b.log.Record, OnPrefill: b.metrics.PromptTokensRead,
 			RetryAfter: b.balance.RetryAfterMs, OnSignals: b.handleSignals, Observe: b.crashDetector.observe,
-			OnCompleted: b.crashDetector.handleCompleted, QuarantineRemainingMs: b.quarantine.QuarantineRemainingMs, CheckBeforeSend: b.checkBeforeSend, Clock: b.clock,
+			OnCompleted: b.crashDetector.handleCompleted, QuarantineRemainingMs: b.quarantine.QuarantineRemainingMs,
+			CheckBeforeSend: b.checkBeforeSend, Clock: b.clock,
 		}),
 		record: record.New(b.log.Record, b.metrics.RequestEnded, b.routingState.AgeMs, b.clock.Monotonic),
 	}
--- a/internal/gateway/store_era.go
+++ b/internal/gateway/store_era.go
@@ -15,7 +15,7 @@
 	b.storeRestoredMs.Store(int64(b.clock.Monotonic()))
 	b.metrics.StoreRestored()
 	b.log.Record(decision.StoreRestored{
-		Before: before, Era: era, Source: source, Position: b.registry.Position(), Version: b.meshKnowledge().Version,
+		Before: before, Era: era, Source: source, Position: b.registry.Position(), Version: b.stateSummary().Version,
 	})
 }
 
--- a/internal/mesh/crash_events_test.go
+++ b/internal/mesh/crash_events_test.go
@@ -12,8 +12,8 @@
 	"dooryard.example/dooryard/internal/quarantine"
 )
 
-// TestCrashEvents checks how soon all boxes know the fingerprint under which upstreams crashed, when each
-// crash is observed by a different box.
+// TestCrashEvents checks how soon all boxes know the fingerprint under which upstreams crashed,
+// when each crash is observed by a different box.
 func TestCrashEvents(t *testing.T) {
 	const fingerprint quarantine.Fingerprint = 7
 	// recordThree lets three boxes record one crash each.
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -117,12 +117,12 @@
 	StateSummary func() StateSummary
 	// InFlight returns this box's requests in flight, by upstream.
 	InFlight func() map[namekey.Key]int
-	// InFlightByPool returns this box's requests in flight, by pool. Large fleets exchange it instead of
-	// InFlight.
+	// InFlightByPool returns this box's requests in flight, by pool. Large fleets exchange it
+	// instead of InFlight.
 	InFlightByPool func() map[namekey.Key]int
-	// AnnouncementsSince returns the prompt parts that this box's requests put into engine caches from a
-	// sequence number on, up to a limit, and the sequence number to continue from. RecordAnnouncements
-	// receives the parts that other boxes report.
+	// AnnouncementsSince returns the prompt parts that this box's requests put into engine caches
+	// from a sequence number on, up to a limit, and the sequence number to continue from.
+	// RecordAnnouncements receives the parts that other boxes report.
 	AnnouncementsSince  func(from int64, limit int) ([]prompt.CachedPart, int64)
 	RecordAnnouncements func(list []prompt.CachedPart)
 	// CrashEventsSince returns this box's reports of crashed upstreams from a sequence number on, as
@@ -327,8 +327,8 @@
 	m.broadcast(func(p *peer) bool { return p.FailureDomain == m.self.FailureDomain })
 }
 
-// BroadcastCrashEvents immediately sends new reports of crashed upstreams to all boxes. In a large fleet
-// the reports spread with the rounds instead.
+// BroadcastCrashEvents immediately sends new reports of crashed upstreams to all boxes. In a large
+// fleet the reports spread with the rounds instead.
 func (m *Mesh) BroadcastCrashEvents() {
 	m.broadcast(func(*peer) bool { return !m.largeLocked() })
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -22,14 +22,14 @@
 
 type box struct {
 	*Mesh
-	mu           sync.Mutex
-	stateSummary StateSummary
-	inFlight     map[namekey.Key]int
-	answers      []PeerState
-	kept         []prompt.CachedPart
-	received     []prompt.CachedPart
-	stop         context.CancelFunc
-	ledger       *quarantine.Ledger
+	mu            sync.Mutex
+	stateSummary  StateSummary
+	inFlight      map[namekey.Key]int
+	answers       []PeerState
+	announcements []prompt.CachedPart
+	received      []prompt.CachedPart
+	stop          context.CancelFunc
+	ledger        *quarantine.Ledger
 }
 
 // newLedger returns a ledger that quarantines a fingerprint after three crashes.
@@ -107,8 +107,8 @@
 		AnnouncementsSince: func(from int64, limit int) ([]prompt.CachedPart, int64) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			to := min(int64(len(b.kept)), from+int64(limit))
-			return b.kept[from:to], to
+			to := min(int64(len(b.announcements)), from+int64(limit))
+			return b.announcements[from:to], to
 		},
 		RecordAnnouncements: func(list []prompt.CachedPart) {
 			b.mu.Lock()
@@ -255,7 +255,7 @@
 				want = append(want, prompt.CachedPart{Part: namekey.Key(i), Upstream: 7})
 			}
 			one.mu.Lock()
-			one.kept = want
+			one.announcements = want
 			one.mu.Unlock()
 			advance(f.t, 4*time.Second)
 			for _, b := range []*box{two, three} {
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -24,9 +24,9 @@
 	unacked int
 	// sentAnnouncements is the sequence number of the next cached prompt part to send to the box.
 	sentAnnouncements int64
-	// receivedCrashEvents is the sequence number up to which this box has received the peer's reports
-	// of crashed upstreams. ackedCrashEvents is the one up to which the peer has acknowledged this box's
-	// reports.
+	// receivedCrashEvents is the sequence number up to which this box has received the peer's
+	// reports of crashed upstreams. ackedCrashEvents is the one up to which the peer has
+	// acknowledged this box's reports.
 	receivedCrashEvents int64
 	ackedCrashEvents    int64
 }
@@ -117,9 +117,9 @@
 	return found
 }
 
-// DomainPingIntervals returns the interval at which at least one box of a failure domain is pinged, by domain.
-// It omits domains without a live box. It is empty in a large fleet, whose rounds reach only a few
-// boxes.
+// DomainPingIntervals returns the interval at which at least one box of a failure domain is pinged,
+// by domain. It omits domains without a live box. It is empty in a large fleet, whose rounds reach
+// only a few boxes.
 func (m *Mesh) DomainPingIntervals() map[string]clock.Millis {
 	now := m.clock.Monotonic()
 	intervals := map[string]clock.Millis{}
@@ -265,9 +265,9 @@
 	shortWindowMs clock.Millis = 1500
 )
 
-// FleetInFlightByPool returns the estimated requests in flight of the whole fleet, by pool, or nil unless the
-// fleet is large. It extrapolates recent reports and takes the larger of two averages, because a
-// bound that lags behind a surge rejects requests for engines that have capacity.
+// FleetInFlightByPool returns the estimated requests in flight of the whole fleet, by pool, or nil
+// unless the fleet is large. It extrapolates recent reports and takes the larger of two averages,
+// because a bound that lags behind a surge rejects requests for engines that have capacity.
 func (m *Mesh) FleetInFlightByPool() map[namekey.Key]int {
 	own := m.inFlightByPool()
 	m.mu.Lock()
@@ -282,8 +282,8 @@
 	return all
 }
 
-// fleetInFlightByPoolLocked extrapolates from this box and those that reported within the window to all known
-// boxes.
+// fleetInFlightByPoolLocked extrapolates from this box and those that reported within the window to
+// all known boxes.
 func (m *Mesh) fleetInFlightByPoolLocked(own map[namekey.Key]int, window clock.Millis) map[namekey.Key]int {
 	sums := maps.Clone(own)
 	now := m.clock.Monotonic()
@@ -306,8 +306,8 @@
 	return sums
 }
 
-// OthersInFlightAgeMs returns the average age of the counts that OthersInFlight returns. In a large fleet boxes
-// don't exchange loads by upstream, so it returns the maximum age.
+// OthersInFlightAgeMs returns the average age of the counts that OthersInFlight returns. In a large
+// fleet boxes don't exchange loads by upstream, so it returns the maximum age.
 func (m *Mesh) OthersInFlightAgeMs() clock.Millis {
 	now := m.clock.Monotonic()
 	m.mu.Lock()
@@ -336,7 +336,8 @@
 	}
 }
 
-// HasMissingBox reports whether a recently live box is silent without having announced that it is draining.
+// HasMissingBox reports whether a recently live box is silent without having announced that it is
+// draining.
 func (m *Mesh) HasMissingBox() bool {
 	now := m.clock.Monotonic()
 	m.mu.Lock()
--- a/internal/mesh/permits.go
+++ b/internal/mesh/permits.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// AcquirePermit requests a permit at an upstream, subject to a bound, from the owner of the upstream in a
-// failure domain. The permit is also granted when no owner answers in time. The returned function
-// releases the permit.
+// AcquirePermit requests a permit at an upstream, subject to a bound, from the owner of the
+// upstream in a failure domain. The permit is also granted when no owner answers in time. The
+// returned function releases the permit.
 func (m *Mesh) AcquirePermit(
 	ctx context.Context, upstream namekey.Key, failureDomain string, bound int,
 ) (granted bool, release func()) {
@@ -114,7 +114,9 @@
 	}
 	number, answer := m.pendingPermits.start()
 	defer m.pendingPermits.finish(number)
-	m.sendPermitMessage(owner.Address, permitMessage{Kind: permitAcquire, Number: number, Upstream: upstream, Bound: bound})
+	m.sendPermitMessage(owner.Address, permitMessage{
+		Kind: permitAcquire, Number: number, Upstream: upstream, Bound: bound,
+	})
 	timedOut := make(chan struct{})
 	timer := m.clock.AfterFunc(permitTimeoutMs, func() { close(timedOut) })
 	defer timer.Stop()
--- a/internal/occupancy/occupancy.go
+++ b/internal/occupancy/occupancy.go
@@ -41,31 +41,31 @@
 }
 
 // Acquire grants a permit at an upstream unless the bound is reached, and reports whether it did.
-func (l *Ledger) Acquire(h PermitID, upstream namekey.Key, bound int) bool {
+func (l *Ledger) Acquire(id PermitID, upstream namekey.Key, bound int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.remove(h)
+	l.remove(id)
 	if l.counts[upstream] >= bound {
 		return false
 	}
-	l.permits[h] = permit{upstream: upstream, atMs: l.monotonic()}
+	l.permits[id] = permit{upstream: upstream, atMs: l.monotonic()}
 	l.counts[upstream]++
 	return true
 }
 
 // Release returns a permit, if it is held.
-func (l *Ledger) Release(h PermitID) {
+func (l *Ledger) Release(id PermitID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.remove(h)
+	l.remove(id)
 }
 
-func (l *Ledger) remove(h PermitID) {
-	p, found := l.permits[h]
+func (l *Ledger) remove(id PermitID) {
+	p, found := l.permits[id]
 	if !found {
 		return
 	}
-	delete(l.permits, h)
+	delete(l.permits, id)
 	if l.counts[p.upstream]--; l.counts[p.upstream] == 0 {
 		delete(l.counts, p.upstream)
 	}
@@ -76,9 +76,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	oldest := l.monotonic() - permitTTLMs
-	for h, p := range maps.Clone(l.permits) {
+	for id, p := range maps.Clone(l.permits) {
 		if p.atMs <= oldest {
-			l.remove(h)
+			l.remove(id)
 		}
 	}
 }
--- a/internal/opaque/dialect.go
+++ b/internal/opaque/dialect.go
@@ -24,10 +24,10 @@
 	ExpectUpstream string
 	// NotRun is set on responses of upstreams that did not run any part of the request.
 	NotRun string
-	// DecodeSignals decodes the status that an upstream reports about itself in the header of a response.
+	// DecodeSignals decodes the signals that an upstream sends in the header of a response.
 	DecodeSignals func(status int, header http.Header) Signals
-	// BoxResponseHeaders lists response headers that are addressed to the box and are not forwarded to the
-	// caller.
+	// BoxResponseHeaders lists response headers that are addressed to the box and are not forwarded
+	// to the caller.
 	BoxResponseHeaders []string
 	// Urgency carries the priority of a request at engines. 0 is the highest.
 	Urgency string
--- a/internal/opaque/refusal.go
+++ b/internal/opaque/refusal.go
@@ -102,7 +102,8 @@
 	CallerDisconnected:         "the caller left",
 }
 
-// StatusCallerDisconnected is the status that is logged when the caller has disconnected. It is never sent.
+// StatusCallerDisconnected is the status that is logged when the caller has disconnected. It is
+// never sent.
 const StatusCallerDisconnected = 499
 
 // NotRunStatus is the status of refusals that guarantee that the request neither ran nor will run.
--- a/internal/opaque/signals.go
+++ b/internal/opaque/signals.go
@@ -2,12 +2,12 @@
 
 import "dooryard.example/dooryard/internal/clock"
 
-// Signals is the status that an upstream reports about itself in the header of a response. The dialect
+// Signals is what an upstream reports about itself in the header of a response. The dialect
 // decodes it once per response. The zero value reports nothing.
 type Signals struct {
-	// BackoffMs is how long the upstream wants to receive no requests from this box, or 0.
+	// BackoffMs is how long the upstream asks this box to back off, that is to send no requests, or 0.
 	BackoffMs clock.Millis
-	// Draining is set when the upstream is about to shut down.
+	// Draining is set when the upstream is draining: it is about to shut down.
 	Draining bool
 	// InFlight is the number of requests that the upstream runs or has queued. It is valid if HasLoad
 	// is set.
--- a/internal/pipe/dispatch/dispatch.go
+++ b/internal/pipe/dispatch/dispatch.go
@@ -23,16 +23,19 @@
 	MayRetry func(pool string) bool
 	// OnFirstSend counts the first attempt of a request in the retry budget of a pool.
 	OnFirstSend func(pool string)
-	// StateAgeMs returns the time since the routing state was last confirmed to be the newest, for logs.
+	// StateAgeMs returns the time since the routing state was last confirmed to be the newest, for
+	// logs.
 	StateAgeMs func() clock.Millis
 	// RecordEvent logs an event.
 	RecordEvent func(e decision.Event)
-	// OnPrefill counts the tokens of shared prompt parts that an engine likely has to process, by reason.
+	// OnPrefill counts the tokens of shared prompt parts that an engine likely has to process, by
+	// reason.
 	OnPrefill func(why string, tokens int)
 	// RetryAfter returns the Retry-After of a refused request.
 	RetryAfter func(pool string, priority int) clock.Millis
-	// OnSignals handles the backoff, shutdown and load signals in the headers of an upstream's response.
-	OnSignals func(request string, lease *balance.Lease, said opaque.Signals)
+	// OnSignals handles the backoff, draining and load signals in the headers of an upstream's
+	// response.
+	OnSignals func(request string, lease *balance.Lease, signals opaque.Signals)
 	// Observe handles evidence that an upstream may have crashed.
 	Observe func(o Observation)
 	// OnCompleted records that a request with this fingerprint got a complete response.
@@ -101,7 +104,7 @@
 	lastFailure *failure
 	// attemptStartedMs is the start time of the latest attempt.
 	attemptStartedMs clock.Millis
-	// signals are the backoff, shutdown and load signals of the latest response.
+	// signals are the backoff, draining and load signals of the latest response.
 	signals opaque.Signals
 }
 
@@ -132,7 +135,8 @@
 		Request: s.request.ID, Fingerprint: s.request.Fingerprint.String(), Upstream: lease.ID,
 		Attempt: s.attempts, Proof: string(failed.execution),
 		Status: failed.status(), Err: errorText(failed.err), Next: string(verdict),
-		BackoffMs: s.signals.BackoffMs, Draining: s.signals.Draining, TookMs: s.pipe.deps.Clock.Monotonic() - s.attemptStartedMs,
+		BackoffMs: s.signals.BackoffMs, Draining: s.signals.Draining,
+		TookMs: s.pipe.deps.Clock.Monotonic() - s.attemptStartedMs,
 	})
 	return verdict == retryAllowed
 }
--- a/internal/pipe/dispatch/stream.go
+++ b/internal/pipe/dispatch/stream.go
@@ -58,7 +58,9 @@
 }
 
 // relayStream relays events as they arrive.
-func (s *retryLoop) relayStream(lease *balance.Lease, resp *upstream.Response, cancel context.CancelCauseFunc) *failure {
+func (s *retryLoop) relayStream(
+	lease *balance.Lease, resp *upstream.Response, cancel context.CancelCauseFunc,
+) *failure {
 	if s.stream == nil {
 		s.startStream(resp)
 	}
@@ -96,7 +98,8 @@
 	_ = r.Writer.FlushNow()
 }
 
-// finishStream ends a stream that the upstream ended. The attempt fails if the last event is incomplete.
+// finishStream ends a stream that the upstream ended. The attempt fails if the last event is
+// incomplete.
 func (s *retryLoop) finishStream() *failure {
 	if len(s.stream.partial) > 0 {
 		s.stream.partial = nil
--- a/internal/pipe/receive/receive.go
+++ b/internal/pipe/receive/receive.go
@@ -13,7 +13,8 @@
 	"dooryard.example/dooryard/internal/opaque"
 )
 
-// boxFullRetryMs is the Retry-After of a request refused by a full box, about the duration of a request.
+// boxFullRetryMs is the Retry-After of a request refused by a full box, about the duration of a
+// request.
 const boxFullRetryMs clock.Millis = 200
 
 // Pipe buffers request bodies.
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -164,9 +164,9 @@
 	return before > 0 && l.remainingMs(known) == 0
 }
 
-// RecordEvents merges events received from another box. If passOn is set, they are relayed in any case, as
-// needed in a fleet that is too large for each box to reach all others. It returns the fingerprints
-// whose quarantine this starts.
+// RecordEvents merges events received from another box. If passOn is set, they are relayed in any
+// case, as needed in a fleet that is too large for each box to reach all others. It returns the
+// fingerprints whose quarantine this starts.
 func (l *Ledger) RecordEvents(list []CrashEvent, passOn bool) (quarantined []Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,8 +199,8 @@
 	return max(0, known.newest()+s.HoldMs-l.monotonic())
 }
 
-// EventsSince returns at most limit events from a sequence number on, and the sequence number to continue
-// from.
+// EventsSince returns at most limit events from a sequence number on, and the sequence number to
+// continue from.
 func (l *Ledger) EventsSince(from int64, limit int) ([]CrashEvent, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -23,7 +23,7 @@
 // Values of Explanation.Reason.
 const (
 	ReasonOpen     = "open"
-	ReasonDraining  = "leaving"
+	ReasonDraining = "leaving"
 	ReasonEjected  = "ejected"
 	ReasonNoWeight = "weight is 0"
 	ReasonSlots    = "at this box's part of its slots"
--- a/internal/soak/response_signals.go
+++ b/internal/soak/response_signals.go
@@ -11,7 +11,7 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// Servers signal in their answers that they need backoff or that they drain. These signals have
+// Servers signal in their responses that they need backoff or that they drain. These signals have
 // their own schedule beside the other faults, so that each can coincide with any fault.
 const (
 	// maxBackoffMs is the longest backoff that a server requests.
@@ -23,7 +23,7 @@
 )
 
 // injectSignals makes one, half or all of the servers request backoff, or one server drain by its
-// answers alone. It starts one such signal after the other until ctx ends.
+// responses alone. It starts one such signal after the other until ctx ends.
 func (f *fleet) injectSignals(ctx context.Context) {
 	random := rand.New(rand.NewPCG(f.settings.Seed, 4))
 	for ctx.Err() == nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// drainBySignal makes a server signal in its answers that it drains, while its entry stays
+// drainBySignal makes a server signal in its responses that it drains, while its entry stays
 // unchanged. The server continues to serve for longer than boxes may send it work, and is then
 // replaced.
 func (f *fleet) drainBySignal(ctx context.Context, s *server) {
@@ -120,7 +120,7 @@
 	return all
 }
 
-// checkSignals checks whether boxes respected the signals in servers' answers.
+// checkSignals checks whether boxes respected the signals in servers' responses.
 func (h *history) checkSignals() []violation {
 	violations := []violation{}
 	for pair, list := range h.deliveries() {
@@ -159,7 +159,7 @@
 }
 
 // lateAfterSignal returns the id of a request that a client sent too late after the box had
-// forwarded an answer in which the server signals that it drains, or "".
+// forwarded a response in which the server signals that it drains, or "".
 func (h *history) lateAfterSignal(pair boxServer, list []delivery) string {
 	var signalled time.Time
 	for _, v := range list {
--- a/internal/soak/response_signals_test.go
+++ b/internal/soak/response_signals_test.go
@@ -11,8 +11,8 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// historyWithSignal returns a history of requests that a box sent to a server every 200 ms. signal sets the
-// signal in the server's answer to the first.
+// historyWithSignal returns a history of requests that a box sent to a server every 200 ms. signal
+// sets the signal in the server's response to the first.
 func historyWithSignal(count int, signal func(a *standin.Arrival)) *history {
 	h := newHistory()
 	began := time.Now()
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -213,12 +213,12 @@
 	return newConn(raw), nil
 }
 
-// HostReachableTimeoutMs is how long HostReachable waits for a connection, about thirty round trips between failure
-// domains.
+// HostReachableTimeoutMs is how long HostReachable waits for a connection, about thirty round trips
+// between failure domains.
 const HostReachableTimeoutMs clock.Millis = 100
 
-// HostReachable reports whether the upstream's host responds. If a connection opens, it is kept for the next
-// request. A refused connection also shows that the host is up.
+// HostReachable reports whether the upstream's host responds. If a connection opens, it is kept for
+// the next request. A refused connection also shows that the host is up.
 func (c *Client) HostReachable(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, HostReachableTimeoutMs.Duration())
 	defer cancel()
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -108,7 +108,7 @@
 		}
 		assert.Len(t, s.conns, 1)
 	})
-	t.Run("sends nothing when MaySend fails, and keeps the connection", func(t *testing.T) {
+	t.Run("sends nothing when BeforeSend fails, and keeps the connection", func(t *testing.T) {
 		s := startUpstream(t, respondEach(okResponse("2", "two")))
 		c := s.client()
 		late := request("1")
