--- a/internal/balance/netpath.go
+++ b/internal/balance/netpath.go
@@ -47,7 +47,8 @@
 
 func newNetPath(now clock.Millis) *netPath {
 	p := &netPath{
-		onPartition: map[*Lease]func(){}, dialErrors: map[string]clock.Millis{}, resets: map[string]clock.Millis{},
+		onPartition: map[*Lease]func(){},
+		dialErrors:  map[string]clock.Millis{}, resets: map[string]clock.Millis{},
 	}
 	p.lastContactMs.Store(int64(now))
 	return p
--- a/internal/balance/permits.go
+++ b/internal/balance/permits.go
@@ -26,10 +26,8 @@
 }
 
 // PickWithPermit picks like Pick, and requests a permit at each engine until one is granted.
-// AcquirePermit requests a permit under a bound from the owner of the lease's engine.
-func (m *Manager) PickWithPermit(
-	a PickRequest, acquirePermit func(lease *Lease, bound int) PermitReply,
-) (*Lease, error) {
+// Acquire requests a permit under a bound from the owner of the lease's engine.
+func (m *Manager) PickWithPermit(a PickRequest, acquire func(lease *Lease, bound int) PermitReply) (*Lease, error) {
 	for {
 		lease, err := m.Pick(a)
 		if err != nil || lease.bound == 0 {
@@ -39,7 +37,7 @@
 		if len(a.Full) >= maxPermitRefusals {
 			bound = math.MaxInt16
 		}
-		permit := acquirePermit(lease, bound)
+		permit := acquire(lease, bound)
 		if permit.Granted {
 			lease.attachPermit(permit.Release)
 			return lease, nil
--- a/internal/balance/skipped.go
+++ b/internal/balance/skipped.go
@@ -42,11 +42,11 @@
 	if first == lease.Member {
 		return Skipped{}
 	}
-	why := m.skipReason(first, a, now)
-	if why == SkipOverloaded && lease.Spread > 1 {
-		why = SkipSpread
+	reason := m.skipReason(first, a, now)
+	if reason == SkipOverloaded && lease.Spread > 1 {
+		reason = SkipSpread
 	}
-	return Skipped{Upstream: first.ID, Reason: why}
+	return Skipped{Upstream: first.ID, Reason: reason}
 }
 
 func (m *Manager) skipReason(member *Member, a PickRequest, now clock.Millis) SkipReason {
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -223,8 +223,8 @@
 
 var requestPaths = []string{"/sticky/", "/unsafe/", "/safe/", "/unsafe2/", "/sticky/", "/public/"}
 
-// assertRestsRespected checks that no upstream received too many requests in a backoff.
-func (a *signalingUpstreams) assertRestsRespected() {
+// assertBackoffsRespected checks that no upstream received too many requests in a backoff.
+func (a *signalingUpstreams) assertBackoffsRespected() {
 	bad, all, worst := a.violatedBackoffs()
 	assert.Positive(a.fleet.t, all, "upstreams asked for backoffs")
 	assert.Zero(a.fleet.t, bad, "of %d backoffs, maximum number of requests in one: %d", all, worst)
@@ -249,7 +249,7 @@
 			}
 			a.upstreams(12)
 			outcomes := a.run(f.boxes(6), loadProfile{perSecond: 90, span: 22 * time.Second, paths: requestPaths, sessions: 40})
-			a.assertRestsRespected()
+			a.assertBackoffsRespected()
 			assert.GreaterOrEqual(f.t, servedShare(outcomes), 0.975)
 			assert.Zero(f.t, countOutcomes(outcomes, func(o outcome) bool { return o.upstreamRetryAfter }), "an upstream's Retry-After was passed on")
 			assert.Equal(f.t, 12, a.usedSince(f.clock.Monotonic()-2000), "all take part again")
@@ -267,7 +267,7 @@
 			}
 			a.upstreams(12)
 			outcomes := a.run(f.boxes(6), loadProfile{perSecond: 90, span: 17 * time.Second, paths: requestPaths, sessions: 40})
-			a.assertRestsRespected()
+			a.assertBackoffsRespected()
 			assertRefusedPromptly(f.t, outcomes, startMs+overloadStartMs+2000, startMs+overloadEndMs)
 			assert.Equal(f.t, 12, a.usedSince(startMs+overloadEndMs), "all take part again")
 		})
@@ -297,7 +297,7 @@
 					f.advanceMonotonic(500)
 				},
 			}})
-			a.assertRestsRespected()
+			a.assertBackoffsRespected()
 		})
 	})
 }
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -120,7 +120,7 @@
 			require.Len(f.t, withMessage(story, "upstream asks for rest"), 1)
 			backoff := withMessage(story, "upstream asks for rest")[0]
 			assert.JSONEq(f.t, `"1"`, string(backoff.Fields["answer_to"]))
-			assert.EqualValues(f.t, 60_000, backoff.RestMs)
+			assert.EqualValues(f.t, 60_000, backoff.BackoffMs)
 			ended := withMessage(story, "request ended")
 			require.Len(f.t, ended, 1)
 			assert.JSONEq(f.t, `"upstreams_at_rest"`, string(ended[0].Fields["cause"]))
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -56,7 +56,8 @@
 
 func (b *Box) newStoreSink(source string) *storeSink {
 	return &storeSink{
-		box: b, source: source, unavailableSince: map[string]clock.Millis{}, lastReadMs: map[string]clock.Millis{},
+		box: b, source: source,
+		unavailableSince: map[string]clock.Millis{}, lastReadMs: map[string]clock.Millis{},
 	}
 }
 
--- a/internal/mesh/bytes_test.go
+++ b/internal/mesh/bytes_test.go
@@ -58,8 +58,8 @@
 	return sent
 }
 
-// TestCrashEventBytes logs how many bytes each box sends for a report of an ended upstream, by fleet
-// size. Ten reports a second come from different boxes, as when an upstream ends each second while
+// TestCrashEventBytes logs how many bytes each box sends for a report of a crashed upstream, by fleet
+// size. Ten reports a second come from different boxes, as when an upstream crashes each second while
 // running ten requests. At 9, 64 and 200 boxes the cost is 322, 1,735 and 172 bytes if every box
 // forwards every report, and 91, 84 and 177 bytes if boxes of fleets of up to 128 forward reports
 // only from the second crash on.
--- a/internal/mesh/permits.go
+++ b/internal/mesh/permits.go
@@ -115,7 +115,8 @@
 	number, answer := m.pendingPermits.start()
 	defer m.pendingPermits.finish(number)
 	m.sendPermitMessage(owner.Address, permitMessage{
-		Kind: permitAcquire, Number: number, Upstream: upstream, Bound: bound,
+		Kind: permitAcquire, Number: number,
+		Upstream: upstream, Bound: bound,
 	})
 	timedOut := make(chan struct{})
 	timer := m.clock.AfterFunc(permitTimeoutMs, func() { close(timedOut) })
--- a/internal/pipe/dispatch/dispatch.go
+++ b/internal/pipe/dispatch/dispatch.go
@@ -30,7 +30,7 @@
 	RecordEvent func(e decision.Event)
 	// OnPrefill counts the tokens of shared prompt parts that an engine likely has to process, by
 	// reason.
-	OnPrefill func(why string, tokens int)
+	OnPrefill func(reason string, tokens int)
 	// RetryAfter returns the Retry-After of a refused request.
 	RetryAfter func(pool string, priority int) clock.Millis
 	// OnSignals handles the backoff, draining and load signals in the headers of an upstream's
--- a/internal/pipe/dispatch/stream.go
+++ b/internal/pipe/dispatch/stream.go
@@ -58,17 +58,15 @@
 }
 
 // relayStream relays events as they arrive.
-func (s *retryLoop) relayStream(
-	lease *balance.Lease, resp *upstream.Response, cancel context.CancelCauseFunc,
-) *failure {
+func (s *retryLoop) relayStream(lease *balance.Lease, res *upstream.Response, cancel context.CancelCauseFunc) *failure {
 	if s.stream == nil {
-		s.startStream(resp)
+		s.startStream(res)
 	}
 	event, stop := s.startIdleTimeout(cancel)
 	defer stop()
 	buffer := make([]byte, streamBufferBytes)
 	for {
-		n, err := resp.Read(buffer)
+		n, err := res.Read(buffer)
 		event()
 		if n > 0 {
 			lease.RecordContact()
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -98,9 +98,9 @@
 	return l.record(fingerprint, upstream, l.monotonic(), true)
 }
 
-// record records a crash. If publish is set, the crash is added to this box's
-// event log at once.
-func (l *Ledger) record(fingerprint Fingerprint, upstream namekey.Key, at clock.Millis, publish bool) (quarantined bool) {
+// record records a crash, and reports whether this starts a quarantine. If publish is set, the crash is
+// added to this box's event log at once.
+func (l *Ledger) record(fingerprint Fingerprint, upstream namekey.Key, at clock.Millis, publish bool) (started bool) {
 	if l.answered.seenAfter(fingerprint, at-answeredGraceMs) {
 		return false
 	}
--- a/internal/why/why.go
+++ b/internal/why/why.go
@@ -20,9 +20,9 @@
 	Box      string    `json:"box"`
 	Request  string    `json:"request"`
 	Upstream string    `json:"upstream"`
-	// RestMs is how long the logged state stays in effect, or 0 if it has no duration.
-	RestMs int64 `json:"rest_ms"`
-	// Fields holds the remaining fields as raw JSON. Upstream and RestMs are in it, too.
+	// BackoffMs is how long the logged backoff stays in effect, or 0 if the line logs none.
+	BackoffMs int64 `json:"rest_ms"`
+	// Fields holds the remaining fields as raw JSON. Upstream and BackoffMs are in it, too.
 	Fields map[string]json.RawMessage `json:"-"`
 	raw    []byte
 }
@@ -62,7 +62,9 @@
 }
 
 // validUntil returns the time until which the logged state is in effect.
-func (l Line) validUntil() time.Time { return l.Time.Add(time.Duration(l.RestMs) * time.Millisecond) }
+func (l Line) validUntil() time.Time {
+	return l.Time.Add(time.Duration(l.BackoffMs) * time.Millisecond)
+}
 
 // Story returns the lines of a request and the state changes that its boxes logged from the
 // span before its first line up to its last line, ordered by time. Earlier state changes are
