--- a/internal/gateway/freshness_test.go
+++ b/internal/gateway/freshness_test.go
@@ -141,8 +141,8 @@
 }
 
 // TestStoreReaderUnresponsive guards against late changes when the store does not respond to the box that reads it for
-// the others, so that this box does not notice the outage for a while. The others must learn within two seconds of an
-// upstream that starts draining at the same instant.
+// the others, so that this box does not notice for a while that the store is unavailable. The others must learn within
+// two seconds of an upstream that starts draining at the same instant.
 func TestStoreReaderUnresponsive(t *testing.T) {
 	runWithFleet(t, func(f *fleet) {
 		t := f.t
@@ -199,7 +199,7 @@
 
 // TestStoreReaderRefusedWithLostDatagrams guards against late changes when the store refuses the box that reads it for
 // the others, and datagrams from this box are lost while those to it arrive, so that the others don't learn of the
-// outage. An upstream that starts draining at the same instant must be known within the time that operators allow.
+// refusals. An upstream that starts draining at the same instant must be known within the time that operators allow.
 func TestStoreReaderRefusedWithLostDatagrams(t *testing.T) {
 	runWithFleet(t, func(f *fleet) {
 		t := f.t
--- a/internal/gateway/ignored_inputs_test.go
+++ b/internal/gateway/ignored_inputs_test.go
@@ -38,8 +38,8 @@
 	})
 }
 
-// TestUnusableEntry guards against requests to an upstream whose entry became invalid. The entry arrives during a store
-// outage, when entries that merely disappear may still reappear.
+// TestUnusableEntry guards against requests to an upstream whose entry became invalid. The entry arrives while the
+// store is unavailable, when entries that merely disappear may still reappear.
 func TestUnusableEntry(t *testing.T) {
 	runWithFleet(t, func(f *fleet) {
 		f.upstream("u1", respondWith("done"))
--- a/internal/gateway/peering.go
+++ b/internal/gateway/peering.go
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// startupSettleMs is how long a box that has just received its state waits to hear from the boxes that read the store
+// startupSettleMs is how long a box that has just received its state waits for states of the boxes that read the store
 // for others: a few gossip rounds.
 const startupSettleMs clock.Millis = 700
 
--- a/internal/gateway/policy_effects_test.go
+++ b/internal/gateway/policy_effects_test.go
@@ -36,7 +36,7 @@
 
 // TestFigures measures the effect of single policies; the subtest names give the results without and with the policy.
 func TestFigures(t *testing.T) {
-	t.Run("served share of requests with keys in an 8 s store outage: 0.575 with a maximum age, 1 without", func(t *testing.T) {
+	t.Run("served share of requests with keys while the store is unavailable for 8 s: 0.575 with a maximum age, 1 without", func(t *testing.T) {
 		assert.InDelta(t, 0.575, servedWhileStoreUnavailable(t, func(*config.Gateway) {}), 0.001)
 		assert.InDelta(t, 1.0, servedWhileStoreUnavailable(t, withoutMaxAge), 0.001)
 	})
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -95,8 +95,8 @@
 	if needed && s.box.peering.mesh.IsStoreReader() {
 		return true
 	}
-	for unavailable := range s.unavailableSince {
-		if unavailable < stream {
+	for other := range s.unavailableSince {
+		if other < stream {
 			return false
 		}
 	}
@@ -136,7 +136,7 @@
 }
 
 // removalGrace returns how long an entry that disappears now may reappear before its upstream is removed. Entries of
-// running upstreams disappear only because of an outage or a restoration of the store.
+// running upstreams disappear only because the store was unavailable or restored.
 func (s *storeSink) removalGrace() clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/timing.go
+++ b/internal/gateway/timing.go
@@ -30,7 +30,7 @@
 	// others, but delay confirmations so much that all boxes read directly whenever a large version is in transit: a
 	// run with 87 boxes made 1,712 calls with waits of 2 s and 1,390 with 1 s.
 	maxPollMs clock.Millis = 1000
-	// maxRemovalGraceMs is how long an entry may stay missing after an outage of its store. Upstreams rewrite their
+	// maxRemovalGraceMs is how long an entry may stay missing after its store was unavailable. Upstreams rewrite their
 	// entries within about two seconds of the recovery.
 	maxRemovalGraceMs clock.Millis = 1700
 	// maxAnnounceMs is how long the front load balancer may take to see two failed readiness checks and stop sending
@@ -46,8 +46,8 @@
 	periodMs clock.Millis
 	// pollMs is how long one read of the store waits for changes.
 	pollMs clock.Millis
-	// removalGraceMs is how long an entry that disappeared because of a store outage may reappear before its upstream
-	// counts as gone.
+	// removalGraceMs is how long an entry that disappeared because the store was unavailable may reappear before its
+	// upstream counts as gone.
 	removalGraceMs clock.Millis
 	// announceMs is how long a box that shuts down still accepts requests.
 	announceMs clock.Millis
--- a/internal/gateway/timing_test.go
+++ b/internal/gateway/timing_test.go
@@ -54,12 +54,12 @@
 }
 
 // TestDrainBounds guards against requests to an upstream later than the operators allow. In one case its entry
-// disappears right after a store outage, when entries of running upstreams may be missing, too. In the other it starts
-// draining while the store does not respond to the box that reads it for the failure domain.
+// disappears right after the store was unavailable, when entries of running upstreams may be missing, too. In the other
+// it starts draining while the store does not respond to the box that reads it for the failure domain.
 func TestDrainBounds(t *testing.T) {
 	for _, leaveMs := range []int64{1000, 2000} {
 		bound := func(g *config.Gateway) { g.Freshness.LeaveMs, g.Freshness.MaxAgeMs = leaveMs, 0 }
-		t.Run(fmt.Sprintf("an entry disappears after a store outage, %d ms", leaveMs), func(t *testing.T) {
+		t.Run(fmt.Sprintf("an entry disappears after the store was unavailable, %d ms", leaveMs), func(t *testing.T) {
 			runWithFleet(t, func(f *fleet) {
 				f.upstream("u1", respondWith("one"))
 				f.upstream("u2", respondWith("two"))
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -250,7 +250,7 @@
 	defer m.mu.Unlock()
 	p.Draining = m.draining
 	if m.largeLocked() {
-		// Each box is heard from only once in minutes, so loads by upstream would be outdated.
+		// A message of each box arrives only once in minutes, so loads by upstream would be outdated.
 		p.InFlight, p.InFlightByPool = nil, m.inFlightByPool()
 	}
 	return p
--- a/internal/pipe/dispatch/dispatch.go
+++ b/internal/pipe/dispatch/dispatch.go
@@ -209,8 +209,8 @@
 // box to back off. The request is then refused at once instead of waiting for the first backoff to
 // end: backoffs last seconds, longer than the latency objective of most requests.
 func allBackingOff(err error) bool {
-	var rest *balance.AllBackingOffError
-	return errors.As(err, &rest)
+	var backoff *balance.AllBackingOffError
+	return errors.As(err, &backoff)
 }
 
 // retryAfterMs returns the Retry-After of a refusal.
