--- a/internal/balance/manager.go
+++ b/internal/balance/manager.go
@@ -30,10 +30,10 @@
 
 // Manager holds the pools and their upstreams. It is safe for concurrent use.
 type Manager struct {
-	settings Settings
-	steady   func() clock.Millis
-	connect  func(address string) *upstream.Client
-	random   func(n int) int
+	settings  Settings
+	monotonic func() clock.Millis
+	connect   func(address string) *upstream.Client
+	random    func(n int) int
 
 	mu   sync.Mutex
 	byID map[string]*Member
@@ -50,22 +50,23 @@
 	retries map[string]*retrySchedule
 	// hotSessions counts the recent requests of each session, by pool.
 	hotSessions map[string]*sessionCounts
-	// running is the number of requests that all boxes run, by pool, in a fleet so large that boxes
-	// don't share their loads by upstream. It is nil in smaller fleets.
-	running map[namekey.Key]int
+	// fleetInFlightByPool is the number of requests that all boxes run, by pool, in a fleet so
+	// large that boxes don't share their loads by upstream. It is nil in smaller fleets.
+	fleetInFlightByPool map[namekey.Key]int
 	// othersAgeMs is the average age of the load reports from other boxes.
 	othersAgeMs clock.Millis
 	// departedSignals holds the signals of upstreams whose entries are gone, by ID.
 	departedSignals map[string]*upstreamSignals
 }
 
-// New returns a manager without upstreams. Steady is a monotonic clock, connect creates the client
+// New returns a manager without upstreams. Monotonic is a monotonic clock, connect creates the client
 // of an upstream, and random returns a number below n.
 func New(
-	settings Settings, steady func() clock.Millis, connect func(address string) *upstream.Client, random func(n int) int,
+	settings Settings, monotonic func() clock.Millis, connect func(address string) *upstream.Client,
+	random func(n int) int,
 ) *Manager {
 	return &Manager{
-		settings: settings, steady: steady, connect: connect, random: random,
+		settings: settings, monotonic: monotonic, connect: connect, random: random,
 		byID: map[string]*Member{}, pools: map[string][]*Member{}, domains: map[string]*netPath{},
 		departed: map[string][]*Member{}, lostParts: partIndex{}, retries: map[string]*retrySchedule{},
 		departedSignals: map[string]*upstreamSignals{}, hotSessions: map[string]*sessionCounts{},
@@ -104,7 +105,7 @@
 // server has restarted: a restart empties its cache.
 func (m *Manager) recordDeparture(member, successor *Member) {
 	if successor == nil || successor.StartedMs == member.StartedMs {
-		member.departedMs = m.steady()
+		member.departedMs = m.monotonic()
 		m.storeSignals(member)
 		m.departed[member.Pool] = append(m.departed[member.Pool], member)
 	}
@@ -141,8 +142,8 @@
 	return old
 }
 
-// SetOthers sets the number of requests that the other boxes have in flight, by upstream.
-func (m *Manager) SetOthers(others map[namekey.Key]int) {
+// SetOthersInFlight sets the number of requests that the other boxes have in flight, by upstream.
+func (m *Manager) SetOthersInFlight(others map[namekey.Key]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, member := range m.byID {
@@ -150,8 +151,8 @@
 	}
 }
 
-// SetOthersAge sets the average age of the load reports from other boxes.
-func (m *Manager) SetOthersAge(age clock.Millis) {
+// SetOthersInFlightAge sets the average age of the load reports from other boxes.
+func (m *Manager) SetOthersInFlightAge(age clock.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.othersAgeMs = age
@@ -175,7 +176,7 @@
 // it every second.
 func (m *Manager) Refresh() {
 	m.mu.Lock()
-	m.expireDeparted(m.steady())
+	m.expireDeparted(m.monotonic())
 	members := make([]*Member, 0, len(m.byID))
 	for _, member := range m.byID {
 		members = append(members, member)
--- a/internal/balance/netpath.go
+++ b/internal/balance/netpath.go
@@ -36,9 +36,9 @@
 	probing        bool
 	// probeEndedMs is when the last probe of the path ended.
 	probeEndedMs clock.Millis
-	// onOutage holds callbacks for the requests behind the path, by lease, which are called once
+	// onPartition holds callbacks for the requests behind the path, by lease, which are called once
 	// the path is partitioned.
-	onOutage map[*Lease]func()
+	onPartition map[*Lease]func()
 	// dialErrors and resets hold, by upstream ID, when a connection last could not be opened and when
 	// one last broke.
 	dialErrors map[string]clock.Millis
@@ -46,7 +46,10 @@
 }
 
 func newNetPath(now clock.Millis) *netPath {
-	p := &netPath{onOutage: map[*Lease]func(){}, dialErrors: map[string]clock.Millis{}, resets: map[string]clock.Millis{}}
+	p := &netPath{
+		onPartition: map[*Lease]func(){},
+		dialErrors:  map[string]clock.Millis{}, resets: map[string]clock.Millis{},
+	}
 	p.lastContactMs.Store(int64(now))
 	return p
 }
@@ -83,7 +86,7 @@
 func (m *Manager) pathTo(name string) *netPath {
 	p := m.domains[name]
 	if p == nil {
-		p = newNetPath(m.steady())
+		p = newNetPath(m.monotonic())
 		m.domains[name] = p
 	}
 	return p
@@ -91,7 +94,7 @@
 
 // recordResult updates the health of an upstream and of its path with the outcome of an attempt.
 func (m *Manager) recordResult(member *Member, result Result) {
-	now, limits := m.steady(), m.settings.Health
+	now, limits := m.monotonic(), m.settings.Health
 	p := m.pathTo(member.FailureDomain)
 	switch result {
 	case Succeeded:
@@ -124,7 +127,7 @@
 // gave a sign of life. Only the next probe decides whether a partitioned path has recovered.
 func (m *Manager) recordResponseStart(member *Member) {
 	member.probation = false
-	m.pathTo(member.FailureDomain).recordContact(m.steady())
+	m.pathTo(member.FailureDomain).recordContact(m.monotonic())
 }
 
 // closeIdleConnections closes the idle connections to a failure domain. A request on a new
--- a/internal/balance/permits.go
+++ b/internal/balance/permits.go
@@ -17,17 +17,17 @@
 // regardless of its load.
 const maxPermitRefusals = 4
 
-// Place is an owner's response to a permit request.
-type Place struct {
+// PermitReply is an owner's response to a permit request.
+type PermitReply struct {
 	// Granted is set unless the engine has reached its bound.
 	Granted bool
 	// Release returns the permit; nil if there is none to return.
 	Release func()
 }
 
-// PickPlace picks like Pick, and requests a permit at each engine until one is granted.
-// AcquirePermit requests a permit under a bound from the owner of the lease's engine.
-func (m *Manager) PickPlace(a Ask, acquirePermit func(lease *Lease, bound int) Place) (*Lease, error) {
+// PickWithPermit picks like Pick, and requests a permit at each engine until one is granted.
+// Acquire requests a permit under a bound from the owner of the lease's engine.
+func (m *Manager) PickWithPermit(a PickRequest, acquire func(lease *Lease, bound int) PermitReply) (*Lease, error) {
 	for {
 		lease, err := m.Pick(a)
 		if err != nil || lease.bound == 0 {
@@ -37,7 +37,7 @@
 		if len(a.Full) >= maxPermitRefusals {
 			bound = math.MaxInt16
 		}
-		permit := acquirePermit(lease, bound)
+		permit := acquire(lease, bound)
 		if permit.Granted {
 			lease.attachPermit(permit.Release)
 			return lease, nil
@@ -52,7 +52,7 @@
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
 	l.onRelease = release
-	l.recordPrompt(l.manager.steady())
+	l.recordPrompt(l.manager.monotonic())
 }
 
 // cancel reverts a pick that got no permit.
@@ -63,16 +63,16 @@
 	l.inFlight--
 }
 
-// SetRunning sets the number of requests that all boxes run, by pool. Nil means that boxes share
-// their loads by upstream.
-func (m *Manager) SetRunning(running map[namekey.Key]int) {
+// SetFleetInFlightByPool sets the number of requests that all boxes run, by pool. Nil means that
+// boxes share their loads by upstream.
+func (m *Manager) SetFleetInFlightByPool(running map[namekey.Key]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.running = running
+	m.fleetInFlightByPool = running
 }
 
-// Running returns the number of requests that this box runs, by pool. Zeros are omitted.
-func (m *Manager) Running() map[namekey.Key]int {
+// InFlightByPool returns the number of requests that this box runs, by pool. Zeros are omitted.
+func (m *Manager) InFlightByPool() map[namekey.Key]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sums := map[namekey.Key]int{}
@@ -94,5 +94,5 @@
 		known += member.load(now)
 	}
 	share := float64(len(members)) / float64(max(1, len(m.pools[pool])))
-	return max(known, int(math.Round(share*float64(m.running[namekey.Of(pool)]))))
+	return max(known, int(math.Round(share*float64(m.fleetInFlightByPool[namekey.Of(pool)]))))
 }
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -14,8 +14,8 @@
 // ErrNoUpstream means that no upstream of the pool accepts the request.
 var ErrNoUpstream = errors.New("no upstream accepts the request")
 
-// Ask holds the inputs of a choice.
-type Ask struct {
+// PickRequest holds the inputs of a choice.
+type PickRequest struct {
 	Pool string
 	// Sticky ranks engines by the prompt's session.
 	Sticky bool
@@ -42,17 +42,17 @@
 	MeanPercent int
 	// FetchFrom is the address of the engine to fetch cached parts from, or "".
 	FetchFrom string
-	// Reading is what the engine is expected to prefill of the shared parts.
-	Reading Reading
-	// Passed is the engine that ranks first for the session, if it was skipped.
-	Passed Passed
+	// Prefill is what the engine is expected to prefill of the shared parts.
+	Prefill Prefill
+	// Skipped is the engine that ranks first for the session, if it was skipped.
+	Skipped Skipped
 
 	// newParts are the shared parts that the engine is to prefill and other boxes may not know of.
 	newParts []namekey.Key
 	manager  *Manager
 	path     *netPath
 	// shared are the shared parts of the prompt.
-	shared []prompt.Keyed
+	shared []prompt.KeyedPart
 	// bound is the maximum load of an engine that has an owner, or 0 for others.
 	bound int
 	// onRelease returns the permit to the engine's owner; nil if there is none.
@@ -80,22 +80,22 @@
 )
 
 // Pick chooses an upstream and counts the request there.
-func (m *Manager) Pick(a Ask) (*Lease, error) {
+func (m *Manager) Pick(a PickRequest) (*Lease, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.steady()
+	now := m.monotonic()
 	members := m.candidates(a, now)
 	if len(members) == 0 {
 		return nil, m.noUpstreamError(a.Pool, now)
 	}
 	total := m.total(a.Pool, members, now)
-	shared := a.Prompt.Shared().Keyed()
+	shared := a.Prompt.Shared().KeyedParts()
 	lease := &Lease{manager: m, MeanPercent: percent * total / len(members)}
 	if a.Sticky && len(a.Prompt) > 0 {
 		m.pickSticky(lease, members, a, total, now)
 		m.chooseFetchSource(lease, a, shared, now)
-		lease.Reading = m.estimatePrefill(lease, a, shared, now)
-		lease.Passed = m.skippedEngine(lease, a, now)
+		lease.Prefill = m.estimatePrefill(lease, a, shared, now)
+		lease.Skipped = m.skippedEngine(lease, a, now)
 	} else {
 		m.pickLeastLoaded(lease, members, now)
 	}
@@ -115,7 +115,7 @@
 // candidates returns the members that may receive the request. Ejections apply only while enough
 // members remain. Members behind a partitioned path can't be reached at all, and members that
 // decline requests get none.
-func (m *Manager) candidates(a Ask, now clock.Millis) []*Member {
+func (m *Manager) candidates(a PickRequest, now clock.Millis) []*Member {
 	healthy, all := []*Member{}, []*Member{}
 	for _, member := range m.pools[a.Pool] {
 		if member.refuses(now) || m.pathTo(member.FailureDomain).partitioned ||
@@ -136,7 +136,7 @@
 // pickSticky chooses the first engine in the session's order that is below the bound, or else the
 // least loaded one. A session that needs more capacity than one engine has starts at a random one
 // of as many engines as it needs.
-func (m *Manager) pickSticky(lease *Lease, members []*Member, a Ask, total int, now clock.Millis) {
+func (m *Manager) pickSticky(lease *Lease, members []*Member, a PickRequest, total int, now clock.Millis) {
 	ranked := rank(a.Prompt.Session(), members)
 	bound := m.bound(total, len(members))
 	lease.Spread = spreadWidth(m.sessionShare(a, now), total, len(members), bound)
@@ -159,13 +159,13 @@
 		}
 	}
 	lease.Rank = slices.Index(ranked, lease.Member)
-	if m.running != nil {
+	if m.fleetInFlightByPool != nil {
 		lease.bound = bound
 	}
 }
 
 // sessionShare counts a request, and returns its session's share of the pool's recent requests.
-func (m *Manager) sessionShare(a Ask, now clock.Millis) float64 {
+func (m *Manager) sessionShare(a PickRequest, now clock.Millis) float64 {
 	h := m.hotSessions[a.Pool]
 	if h == nil {
 		h = newSessionCounts(now)
@@ -194,7 +194,7 @@
 // there was 0.873, 0.894 and 0.889 without and 0.872, 0.891 and 0.879 with it, as more prompts are
 // prefilled again. Six boxes exchange loads every 0.25 s, and their bound stays the same.
 func (m *Manager) unreportedLoad(load int) int {
-	if m.running != nil {
+	if m.fleetInFlightByPool != nil {
 		// Owners count the load that boxes don't report to each other.
 		return 0
 	}
@@ -265,8 +265,8 @@
 	}
 	l.released = true
 	l.inFlight--
-	delete(l.path.onOutage, l)
-	l.manager.retryScheduleFor(l.Pool).recordCompletion(l.manager.steady())
+	delete(l.path.onPartition, l)
+	l.manager.retryScheduleFor(l.Pool).recordCompletion(l.manager.monotonic())
 	if l.responding {
 		l.path.responding--
 	}
@@ -278,12 +278,12 @@
 	return true
 }
 
-// OnCut sets a callback that is called once if the path to the upstream becomes partitioned before
-// the lease ends.
-func (l *Lease) OnCut(callback func()) {
+// OnPartition sets a callback that is called once if the path to the upstream becomes partitioned
+// before the lease ends.
+func (l *Lease) OnPartition(callback func()) {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
-	l.path.onOutage[l] = callback
+	l.path.onPartition[l] = callback
 }
 
 // Report records the upstream's own count of the requests it holds.
@@ -292,15 +292,15 @@
 	defer l.manager.mu.Unlock()
 	l.reportedLoad = count
 	l.inFlightAtReport = l.inFlight
-	l.reportedMs = l.manager.steady()
+	l.reportedMs = l.manager.monotonic()
 }
 
-// Heard records that a part of the response arrived, which shows that the path to the upstream
+// RecordContact records that a part of the response arrived, which shows that the path to the upstream
 // works.
-func (l *Lease) Heard() { l.path.recordContact(l.manager.steady()) }
+func (l *Lease) RecordContact() { l.path.recordContact(l.manager.monotonic()) }
 
-// Answered records that the response has started.
-func (l *Lease) Answered() {
+// RecordResponseStart records that the response has started.
+func (l *Lease) RecordResponseStart() {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
 	l.manager.recordResponseStart(l.Member)
--- a/internal/balance/probes.go
+++ b/internal/balance/probes.go
@@ -33,18 +33,18 @@
 )
 
 // Probe is a probe of the path to a failure domain. The caller opens connections to the upstreams
-// of Clients and reports the result to Probed.
+// of Clients and reports the result to RecordProbe.
 type Probe struct {
 	FailureDomain string
 	Clients       []*upstream.Client
 }
 
-// HeardFrom records that another box of a failure domain sent a message.
-func (m *Manager) HeardFrom(failureDomain string) {
+// RecordContact records that another box of a failure domain sent a message.
+func (m *Manager) RecordContact(failureDomain string) {
 	m.mu.Lock()
 	p := m.pathTo(failureDomain)
 	m.mu.Unlock()
-	p.recordContact(m.steady())
+	p.recordContact(m.monotonic())
 }
 
 // Probes returns the probes that are due. HeartbeatMs is the interval at which some box of a
@@ -53,7 +53,7 @@
 func (m *Manager) Probes(heartbeatMs map[string]clock.Millis, paused bool) []Probe {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.steady()
+	now := m.monotonic()
 	probes := []Probe{}
 	for name, p := range m.domains {
 		if paused {
@@ -87,22 +87,22 @@
 	return all[:min(maxProbeTargets, len(all))]
 }
 
-// Probed records the result of a probe: opened is set if any connection was opened, or was refused
+// RecordProbe records the result of a probe: opened is set if any connection was opened, or was refused
 // by a reachable host. It returns how long the path was partitioned, and whether its state changed.
-func (m *Manager) Probed(name string, opened bool) (outageMs clock.Millis, changed bool) {
-	outageMs, changed, callbacks := m.recordProbe(name, opened)
+func (m *Manager) RecordProbe(name string, opened bool) (partitionMs clock.Millis, changed bool) {
+	partitionMs, changed, callbacks := m.recordProbe(name, opened)
 	for _, callback := range callbacks {
 		callback()
 	}
-	return outageMs, changed
+	return partitionMs, changed
 }
 
 // recordProbe records the result of a probe, and returns the callbacks of the requests behind a
 // path that has become partitioned.
-func (m *Manager) recordProbe(name string, opened bool) (outageMs clock.Millis, changed bool, callbacks []func()) {
+func (m *Manager) recordProbe(name string, opened bool) (partitionMs clock.Millis, changed bool, callbacks []func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.steady()
+	now := m.monotonic()
 	p := m.pathTo(name)
 	changed = p.partitioned == opened
 	p.probing, p.partitioned = false, !opened
@@ -110,14 +110,14 @@
 	switch {
 	case opened:
 		p.lastContactMs.Store(int64(now))
-		outageMs = now - p.partitionedAtMs
+		partitionMs = now - p.partitionedAtMs
 	case changed:
 		p.partitionedAtMs = now
 		m.closeIdleConnections(name)
-		callbacks = slices.Collect(maps.Values(p.onOutage))
-		clear(p.onOutage)
+		callbacks = slices.Collect(maps.Values(p.onPartition))
+		clear(p.onPartition)
 	}
-	return outageMs, changed, callbacks
+	return partitionMs, changed, callbacks
 }
 
 // probeDue reports whether the path is to be probed now.
--- a/internal/balance/signals.go
+++ b/internal/balance/signals.go
@@ -10,15 +10,15 @@
 
 // Errors of the check right before a request is sent.
 var (
-	// ErrAtRest means that the upstream asked this box to back off.
-	ErrAtRest = errors.New("the upstream asked this box to back off")
-	// ErrLeaving means that the upstream is about to shut down.
-	ErrLeaving = errors.New("the upstream is draining")
+	// ErrBackingOff means that the upstream asked this box to back off.
+	ErrBackingOff = errors.New("the upstream asked this box to back off")
+	// ErrDraining means that the upstream has announced that it will shut down.
+	ErrDraining = errors.New("the upstream is draining")
 )
 
-// AllRestError means that upstreams would accept the request, but all of them are backing off. It
+// AllBackingOffError means that upstreams would accept the request, but all of them are backing off. It
 // wraps ErrNoUpstream.
-type AllRestError struct {
+type AllBackingOffError struct {
 	// Upstreams is the number of upstreams that are backing off.
 	Upstreams int
 	// NextUpstream is the upstream whose backoff ends first, in RetryInMs. RefusedRequest is the
@@ -29,13 +29,13 @@
 }
 
 // Error implements error.
-func (e *AllRestError) Error() string {
+func (e *AllBackingOffError) Error() string {
 	return fmt.Sprintf("%v: %d upstreams are backing off; %s is first, in %d ms, as asked in the refusal of request %s",
 		ErrNoUpstream, e.Upstreams, e.NextUpstream, e.RetryInMs, e.RefusedRequest)
 }
 
 // Unwrap returns ErrNoUpstream.
-func (*AllRestError) Unwrap() error { return ErrNoUpstream }
+func (*AllBackingOffError) Unwrap() error { return ErrNoUpstream }
 
 // upstreamSignals are the backoff and draining signals that an upstream sent to this box in its
 // responses. They belong to its incarnation: changes of its registry entry, its health and its load
@@ -43,8 +43,8 @@
 //
 // Boxes that ignored them sent up to 7 requests during a backoff (more than 2 in 38 to 44 of 189 to
 // 203 backoffs) where half of twelve upstreams shed load, and 136 to 145 requests to four upstreams
-// that had announced their shutdown 2 s before (90 requests a second at six boxes, one run each);
-// with the signals, none.
+// that had announced that they are draining 2 s before (90 requests a second at six boxes, one run
+// each); with the signals, none.
 //
 // A signal applies to the box that received it and is not shared with others. An upstream that
 // wants all boxes to back off signals each of them.
@@ -75,21 +75,21 @@
 	return !s.backingOff(now) && now-s.departedMs > signalsTTLMs
 }
 
-// draining reports whether the upstream is about to shut down, according to its entry or its
+// draining reports whether the upstream is draining, according to its entry or its
 // responses, whichever says so first.
 func (m *Member) draining() bool { return m.Draining || m.signals.shuttingDown }
 
 // refuses reports whether the upstream accepts no new requests from this box.
 func (m *Member) refuses(now clock.Millis) bool { return m.draining() || m.signals.backingOff(now) }
 
-// Rest records that the upstream asked this box in the refusal of a request to back off for a
+// BackOff records that the upstream asked this box in the refusal of a request to back off for a
 // duration, and reports whether it was not backing off before. The latest end applies. Afterwards
 // the upstream receives single trial requests, as after an ejection, until one is answered: all
 // requests that wait for the end of a backoff would overload it again.
-func (l *Lease) Rest(duration clock.Millis, request string) bool {
+func (l *Lease) BackOff(duration clock.Millis, request string) bool {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
-	now := l.manager.steady()
+	now := l.manager.monotonic()
 	changed := !l.signals.backingOff(now)
 	until := now + duration
 	l.signals.backoffSetMs = now
@@ -103,9 +103,9 @@
 	return changed
 }
 
-// Leave records that the upstream announced its shutdown, and reports whether that was not known
-// before.
-func (l *Lease) Leave() bool {
+// MarkDraining records that the upstream announced that it is draining, and reports whether that
+// was not known before.
+func (l *Lease) MarkDraining() bool {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
 	changed := !l.draining()
@@ -113,26 +113,26 @@
 	return changed
 }
 
-// MaySend returns an error if the request must not be sent once its connection is open: the
-// upstream may have asked for a backoff, or announced its shutdown, since it was picked.
-func (l *Lease) MaySend() error {
+// CheckBeforeSend returns an error if the request must not be sent once its connection is open: the
+// upstream may have asked for a backoff, or announced that it is draining, since it was picked.
+func (l *Lease) CheckBeforeSend() error {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
 	switch {
 	case l.draining():
-		return ErrLeaving
-	case l.signals.backingOff(l.manager.steady()):
-		return ErrAtRest
+		return ErrDraining
+	case l.signals.backingOff(l.manager.monotonic()):
+		return ErrBackingOff
 	default:
 		return nil
 	}
 }
 
-// Resting returns the number of upstreams that are backing off, by pool. Zeros are omitted.
-func (m *Manager) Resting() map[string]int {
+// BackingOff returns the number of upstreams that are backing off, by pool. Zeros are omitted.
+func (m *Manager) BackingOff() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now, counts := m.steady(), map[string]int{}
+	now, counts := m.monotonic(), map[string]int{}
 	for _, member := range m.byID {
 		if member.signals.backingOff(now) {
 			counts[member.Pool]++
@@ -175,7 +175,7 @@
 // successorBackoffUntil returns the end of the backoff that the next incarnation inherits from a
 // previous one.
 func (m *Manager) successorBackoffUntil(previous *upstreamSignals) clock.Millis {
-	if m.steady()-previous.backoffSetMs <= maxRestartLagMs {
+	if m.monotonic()-previous.backoffSetMs <= maxRestartLagMs {
 		return previous.backoffUntilMs
 	}
 	return previous.successorUntilMs
@@ -184,13 +184,13 @@
 // storeSignals keeps the signals of an upstream whose entry is gone: entries expire while the store
 // that holds them is unavailable, and reappear later.
 func (m *Manager) storeSignals(member *Member) {
-	member.signals.departedMs = m.steady()
+	member.signals.departedMs = m.monotonic()
 	m.departedSignals[member.ID] = member.signals
 }
 
 // noUpstreamError returns the reason for which no upstream of a pool accepts a request.
 func (m *Manager) noUpstreamError(pool string, now clock.Millis) error {
-	e := &AllRestError{}
+	e := &AllBackingOffError{}
 	for _, member := range m.pools[pool] {
 		if member.draining() || !member.signals.backingOff(now) {
 			continue
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -21,7 +21,7 @@
 func newFixture() *fixture {
 	f := &fixture{}
 	base := New()
-	f.Clock = New(WithSteady(func() Millis { return base.Steady() + Millis(f.suspendedMs.Load()) }))
+	f.Clock = New(WithMonotonic(func() Millis { return base.Monotonic() + Millis(f.suspendedMs.Load()) }))
 	return f
 }
 
@@ -145,18 +145,18 @@
 // TestBootTime reads the clock that includes suspensions.
 func TestBootTime(t *testing.T) {
 	c := New(WithBootTime())
-	first := c.Steady()
+	first := c.Monotonic()
 	assert.Positive(t, first)
-	assert.GreaterOrEqual(t, c.Steady(), first)
+	assert.GreaterOrEqual(t, c.Monotonic(), first)
 }
 
-// BenchmarkSteady reads the monotonic time: "before" on the clock that excludes suspensions,
+// BenchmarkMonotonic reads the monotonic time: "before" on the clock that excludes suspensions,
 // "after" on the one that includes them.
-func BenchmarkSteady(b *testing.B) {
+func BenchmarkMonotonic(b *testing.B) {
 	for name, c := range map[string]Clock{"before": New(), "after": New(WithBootTime())} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
-				_ = c.Steady()
+				_ = c.Monotonic()
 			}
 		})
 	}
--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -21,8 +21,8 @@
 	Routine() bool
 }
 
-// Picked records which upstream a request is sent to and why.
-type Picked struct {
+// UpstreamPicked records which upstream a request is sent to and why.
+type UpstreamPicked struct {
 	Request  string
 	Route    string
 	Pool     string
@@ -37,28 +37,28 @@
 	// the pool's mean load, in percent of one request.
 	Load        int
 	MeanPercent int
-	// PassedOver is the engine ranked first for the session, if another one was picked.
-	// PassedWhy is the reason.
-	PassedOver string
-	PassedWhy  string
+	// SkippedUpstream is the engine ranked first for the session, if another one was picked.
+	// SkipReason is the reason.
+	SkippedUpstream string
+	SkipReason      string
 	// FetchFrom is the engine from which to fetch cached prefixes.
 	FetchFrom string
-	// ReadTokens is the estimated number of tokens of shared prefixes that the engine has
-	// to process itself. ReadWhy is the reason why no engine's cached copy can be used.
-	ReadTokens int
-	ReadWhy    string
+	// PrefillTokens is the estimated number of tokens of shared prefixes that the engine has
+	// to process itself. PrefillReason is the reason why no engine's cached copy can be used.
+	PrefillTokens int
+	PrefillReason string
 	// ResumeAfter is the last event that the caller has received, on a resumed stream.
 	ResumeAfter string
 }
 
 // Name implements Event.
-func (Picked) Name() string { return "upstream picked" }
+func (UpstreamPicked) Name() string { return "upstream picked" }
 
 // Routine implements Event.
-func (e Picked) Routine() bool { return e.Attempt == 1 }
+func (e UpstreamPicked) Routine() bool { return e.Attempt == 1 }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (e Picked) MarshalLogObject(o zapcore.ObjectEncoder) error {
+func (e UpstreamPicked) MarshalLogObject(o zapcore.ObjectEncoder) error {
 	o.AddString("request", e.Request)
 	o.AddString("route", e.Route)
 	o.AddString("pool", e.Pool)
@@ -69,12 +69,12 @@
 	o.AddInt("rank", e.Rank)
 	o.AddInt("load", e.Load)
 	o.AddInt("mean_load_percent", e.MeanPercent)
-	addIfSet(o, "passed_over", e.PassedOver)
-	addIfSet(o, "passed_why", e.PassedWhy)
+	addIfSet(o, "passed_over", e.SkippedUpstream)
+	addIfSet(o, "passed_why", e.SkipReason)
 	addIfSet(o, "fetch_from", e.FetchFrom)
-	if e.ReadTokens > 0 {
-		o.AddInt("read_tokens", e.ReadTokens)
-		o.AddString("read_why", e.ReadWhy)
+	if e.PrefillTokens > 0 {
+		o.AddInt("read_tokens", e.PrefillTokens)
+		o.AddString("read_why", e.PrefillReason)
 	}
 	addIfSet(o, "resume_after", e.ResumeAfter)
 	return nil
@@ -94,11 +94,11 @@
 	Err    string
 	// Next is the next step: another attempt, or the reason why there is none.
 	Next string
-	// AskedRestMs is the backoff that the upstream asked of this box, or 0.
-	AskedRestMs clock.Millis
-	// Leaving is set when the upstream announced that it is shutting down.
-	Leaving bool
-	TookMs  clock.Millis
+	// BackoffMs is the backoff that the upstream asked of this box, or 0.
+	BackoffMs clock.Millis
+	// Draining is set when the upstream announced that it is draining.
+	Draining bool
+	TookMs   clock.Millis
 }
 
 // Name implements Event.
@@ -119,18 +119,18 @@
 	}
 	addIfSet(o, "error", e.Err)
 	o.AddString("next", e.Next)
-	if e.AskedRestMs > 0 {
-		o.AddInt64("asked_rest_ms", int64(e.AskedRestMs))
+	if e.BackoffMs > 0 {
+		o.AddInt64("asked_rest_ms", int64(e.BackoffMs))
 	}
-	if e.Leaving {
+	if e.Draining {
 		o.AddBool("leaving", true)
 	}
 	o.AddInt64("took_ms", int64(e.TookMs))
 	return nil
 }
 
-// Ended records the outcome of a request.
-type Ended struct {
+// RequestEnded records the outcome of a request.
+type RequestEnded struct {
 	Request string
 	// Fingerprint identifies the content of the request; it is empty if the body was not read.
 	Fingerprint  string
@@ -149,13 +149,13 @@
 }
 
 // Name implements Event.
-func (Ended) Name() string { return "request ended" }
+func (RequestEnded) Name() string { return "request ended" }
 
 // Routine implements Event.
-func (e Ended) Routine() bool { return e.Cause == "" }
+func (e RequestEnded) Routine() bool { return e.Cause == "" }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (e Ended) MarshalLogObject(o zapcore.ObjectEncoder) error {
+func (e RequestEnded) MarshalLogObject(o zapcore.ObjectEncoder) error {
 	o.AddString("request", e.Request)
 	addIfSet(o, "fingerprint", e.Fingerprint)
 	addIfSet(o, "route", e.Route)
@@ -190,20 +190,21 @@
 	return nil
 }
 
-// Dependency records that the box lost or regained a dependency.
+// Dependency records that the box lost or regained access to a dependency.
 type Dependency struct {
 	// Dependency is "store" or "path to a failure domain".
-	Dependency string
-	ID         string
-	Lost       bool
-	Err        string
-	// AwayMs is how long the dependency was unavailable; it is logged when it is available again.
-	AwayMs clock.Millis
+	Dependency  string
+	ID          string
+	Unavailable bool
+	Err         string
+	// UnavailableMs is how long the dependency was unavailable; it is logged when it is available
+	// again.
+	UnavailableMs clock.Millis
 }
 
 // Name implements Event.
 func (e Dependency) Name() string {
-	if e.Lost {
+	if e.Unavailable {
 		return "dependency lost"
 	}
 	return "dependency back"
@@ -217,8 +218,8 @@
 	o.AddString("dependency", e.Dependency)
 	addIfSet(o, "id", e.ID)
 	addIfSet(o, "error", e.Err)
-	if !e.Lost {
-		o.AddInt64("away_ms", int64(e.AwayMs))
+	if !e.Unavailable {
+		o.AddInt64("away_ms", int64(e.UnavailableMs))
 	}
 	return nil
 }
@@ -299,41 +300,41 @@
 	return nil
 }
 
-// UpstreamAsked records the first response in which an upstream asked this box to back off
-// or announced its shutdown.
-type UpstreamAsked struct {
+// UpstreamSignaled records the first response in which an upstream asked this box to back off
+// or announced that it is draining.
+type UpstreamSignaled struct {
 	Upstream string
 	Pool     string
-	// RestMs is the requested backoff, or 0 if the upstream is shutting down.
-	RestMs clock.Millis
-	// AnswerTo is the id of the request whose response carried the signal.
-	AnswerTo string
+	// BackoffMs is the requested backoff, or 0 if the upstream is draining.
+	BackoffMs clock.Millis
+	// Request is the id of the request whose response carried the signal.
+	Request string
 }
 
 // Name implements Event.
-func (e UpstreamAsked) Name() string {
-	if e.RestMs > 0 {
+func (e UpstreamSignaled) Name() string {
+	if e.BackoffMs > 0 {
 		return "upstream asks for rest"
 	}
 	return "upstream says it leaves"
 }
 
 // Routine implements Event.
-func (UpstreamAsked) Routine() bool { return false }
+func (UpstreamSignaled) Routine() bool { return false }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (e UpstreamAsked) MarshalLogObject(o zapcore.ObjectEncoder) error {
+func (e UpstreamSignaled) MarshalLogObject(o zapcore.ObjectEncoder) error {
 	o.AddString("upstream", e.Upstream)
 	o.AddString("pool", e.Pool)
-	if e.RestMs > 0 {
-		o.AddInt64("rest_ms", int64(e.RestMs))
+	if e.BackoffMs > 0 {
+		o.AddInt64("rest_ms", int64(e.BackoffMs))
 	}
-	o.AddString("answer_to", e.AnswerTo)
+	o.AddString("answer_to", e.Request)
 	return nil
 }
 
-// UpstreamEnded records that an upstream's connections broke and its host refuses new ones.
-type UpstreamEnded struct {
+// UpstreamCrashed records that an upstream's connections broke and its host refuses new ones.
+type UpstreamCrashed struct {
 	Upstream string
 	// Fingerprints identify the content of this box's requests whose connections to the
 	// upstream broke.
@@ -341,13 +342,13 @@
 }
 
 // Name implements Event.
-func (UpstreamEnded) Name() string { return "upstream ended" }
+func (UpstreamCrashed) Name() string { return "upstream ended" }
 
 // Routine implements Event.
-func (UpstreamEnded) Routine() bool { return false }
+func (UpstreamCrashed) Routine() bool { return false }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (e UpstreamEnded) MarshalLogObject(o zapcore.ObjectEncoder) error {
+func (e UpstreamCrashed) MarshalLogObject(o zapcore.ObjectEncoder) error {
 	o.AddString("upstream", e.Upstream)
 	zap.Strings("fingerprints", e.Fingerprints).AddTo(o)
 	return nil
@@ -356,7 +357,7 @@
 // Quarantined records that requests with a fingerprint are quarantined or released.
 type Quarantined struct {
 	Fingerprint string
-	// Upstreams is the number of upstreams that ended while running such a request.
+	// Upstreams is the number of upstreams that crashed while running such a request.
 	Upstreams int
 	// HoldMs is the duration of the quarantine, or 0 on release because an upstream answered
 	// such a request.
--- a/internal/experiment/request.go
+++ b/internal/experiment/request.go
@@ -9,7 +9,7 @@
 // request simulates a request that a box receives, with its attempts on engines.
 func (s *simulation) request(b *box) {
 	s.requests++
-	ask := balance.Ask{
+	ask := balance.PickRequest{
 		Pool: "p", Sticky: s.disabled != Sticky, Prompt: s.prompt(), Transfers: s.disabled != Fetch,
 	}
 	latency, sent := clock.Millis(0), 0
@@ -94,7 +94,7 @@
 	}
 	s.fetched += fetched
 	latency += baseLatencyMs + clock.Millis(read/prefillTokensPerMs+fetched/fetchTokensPerMs)
-	lease.Answered()
+	lease.RecordResponseStart()
 	s.completions = append(s.completions, completion{atMs: s.now + latency + streamDurationMs, lease: lease})
 	s.served++
 	if latency <= objectiveMs {
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -199,7 +199,7 @@
 	for _, b := range s.boxes {
 		for i := range domains {
 			if name := fmt.Sprint("d", i); (name == "d0") != (b.domain == "d0") {
-				b.Probed(name, opened)
+				b.RecordProbe(name, opened)
 			}
 		}
 	}
@@ -230,7 +230,7 @@
 				s.share(other, b, others)
 			}
 		}
-		b.SetOthers(others)
+		b.SetOthersInFlight(others)
 	}
 }
 
@@ -242,9 +242,9 @@
 		}
 	}
 	if s.disabled != CacheSharing {
-		kept, next := from.KeptSince(from.lastSent[to], percent)
+		kept, next := from.AnnouncementsSince(from.lastSent[to], percent)
 		from.lastSent[to] = next
-		to.LearnKept(kept)
+		to.RecordAnnouncements(kept)
 	}
 }
 
--- a/internal/gateway/box.go
+++ b/internal/gateway/box.go
@@ -56,13 +56,13 @@
 	core          zapcore.Core
 	log           *decision.Log
 	metrics       *Metrics
-	routingState  *routing.Belief
+	routingState  *routing.StateTracker
 	registry      *registry.Registry
 	balance       *balance.Manager
 	budgets       *retry.Budgets
 	steps         *steps
 	peering       *peering
-	crashes       *crashes
+	crashDetector *crashDetector
 	ignoredInputs *ignoredInputLog
 	pauseDetector *pauseDetector
 	sink          *storeSink
@@ -70,8 +70,8 @@
 
 	servers  []*http.Server
 	stopping atomic.Bool
-	// storeLost is set while any stream of the store can't be read.
-	storeLost atomic.Bool
+	// storeUnavailable is set while any stream of the store can't be read.
+	storeUnavailable atomic.Bool
 	// storeRestoredMs is when this box last found the store restored from an older snapshot, 0 if never.
 	storeRestoredMs atomic.Int64
 	// synced is closed once the box has a routing state and a list of upstreams.
@@ -124,40 +124,40 @@
 	b.log = decision.New(decision.Settings{
 		MaxLinesPerSecond: settings.Lines.MaxPerSecond, MaxWaiting: logQueueSize,
 	}, b.clock, b.core)
-	b.routingState = routing.NewBelief(b.clock.Steady)
-	b.registry = registry.New(b.clock.Steady)
+	b.routingState = routing.NewStateTracker(b.clock.Monotonic)
+	b.registry = registry.New(b.clock.Monotonic)
 	b.balance = balance.New(balance.Settings{
 		FailureDomain: settings.FailureDomain, BoundPercent: settings.Balance.BoundPercent,
 		PanicPercent: settings.Balance.PanicPercent,
 		Health: health.Limits{
 			BaseMs: clock.Millis(settings.Balance.EjectBaseMs), MaxMs: clock.Millis(settings.Balance.EjectMaxMs),
 		},
-	}, b.clock.Steady, b.connect, rand.IntN)
+	}, b.clock.Monotonic, b.connect, rand.IntN)
 	b.registry.OnChange(func() { b.balance.SetUpstreams(b.registry.All()) })
 	usablePercent := settings.Budget.Ratio * percent * localBudgetShare
 	window := clock.Millis(settings.Budget.WindowS * float64(clock.Second))
 	b.budgets = retry.NewBudgets(int(usablePercent*sustainedShare), retryReserve(settings.Budget.Slack),
-		retry.WithBank(int(usablePercent*(1-sustainedShare)), window, b.clock.Steady))
-	b.metrics.Publish("routing_state", func() any { return b.meshKnowledge() })
+		retry.WithBank(int(usablePercent*(1-sustainedShare)), window, b.clock.Monotonic))
+	b.metrics.Publish("routing_state", func() any { return b.stateSummary() })
 	b.metrics.Publish("lines_dropped", func() any { return b.log.DroppedLines() })
-	b.quarantine = quarantine.New(b.clock.Steady, b.quarantineSettings, int64(b.clock.Now()))
+	b.quarantine = quarantine.New(b.clock.Monotonic, b.quarantineSettings, int64(b.clock.Now()))
 	b.metrics.Publish("quarantine", func() any { return b.quarantine.Sizes() })
-	b.metrics.Publish("upstreams_at_rest", func() any { return b.balance.Resting() })
+	b.metrics.Publish("upstreams_at_rest", func() any { return b.balance.BackingOff() })
 	b.pauseDetector = newPauseDetector(b)
 	b.sink = b.newStoreSink(b.source.Name)
-	b.crashes = newCrashes(b)
+	b.crashDetector = newCrashDetector(b)
 	b.ignoredInputs = &ignoredInputLog{box: b, lastLogged: map[string]clock.Millis{}}
 	b.buildSteps()
 }
 
-// meshKnowledge returns what the box currently knows, for other boxes and for metrics.
-func (b *Box) meshKnowledge() mesh.Knowledge {
-	k := mesh.Knowledge{Position: b.registry.Position(), AgeMs: -1, StoreLost: b.storeLost.Load()}
+// stateSummary returns what the box currently knows, for other boxes and for metrics.
+func (b *Box) stateSummary() mesh.StateSummary {
+	k := mesh.StateSummary{Position: b.registry.Position(), AgeMs: -1, StoreUnavailable: b.storeUnavailable.Load()}
 	if state := b.routingState.State(); state != nil {
 		k.Version = state.Version()
 	}
 	if confirmation, ok := b.routingState.Confirmed(); ok {
-		k.AgeMs, k.Era = b.clock.Steady()-confirmation.AtMs, confirmation.Era
+		k.AgeMs, k.Era = b.clock.Monotonic()-confirmation.AtMs, confirmation.Era
 	}
 	return k
 }
@@ -184,7 +184,7 @@
 	if b.dial != nil {
 		options = append(options, upstream.WithDial(b.dial))
 	}
-	return upstream.New(address, b.clock.Steady, options...)
+	return upstream.New(address, b.clock.Monotonic, options...)
 }
 
 func (b *Box) maxAgeMs() clock.Millis { return clock.Millis(b.settings.Load().Freshness.MaxAgeMs) }
@@ -199,7 +199,7 @@
 // quarantineSettings returns the current settings of the quarantine.
 func (b *Box) quarantineSettings() quarantine.Settings {
 	settings := b.settings.Load().Quarantine
-	return quarantine.Settings{Ends: *settings.AfterEnds, HoldMs: clock.Millis(settings.HoldMs)}
+	return quarantine.Settings{MinCrashes: *settings.MinCrashes, HoldMs: clock.Millis(settings.HoldMs)}
 }
 
 // bodyMemory returns how many bytes of memory buffered request bodies may use.
@@ -226,11 +226,11 @@
 	}
 	b.goroutines.Go(func() { b.peering.mesh.Run(background) })
 	b.goroutines.Go(func() { b.peering.run(background) })
-	b.log.Tell(decision.Process{What: "started"})
+	b.log.Record(decision.Process{What: "started"})
 	b.goroutines.Go(func() { b.source.Run(background, b.sink.asSink()) })
 	b.goroutines.Go(func() { b.clock.Every(background, housekeepingIntervalMs, func(clock.Millis) { b.housekeeping() }) })
 	b.goroutines.Go(func() { b.watchPaths(background) })
-	b.goroutines.Go(func() { b.crashes.run(background) })
+	b.goroutines.Go(func() { b.crashDetector.run(background) })
 	b.goroutines.Go(func() { b.syncNotes(background) })
 	select {
 	case <-ctx.Done():
@@ -238,7 +238,7 @@
 	case err = <-failed:
 	}
 	b.closeListeners()
-	b.log.Tell(decision.Process{What: "stopped", Note: errorText(err)})
+	b.log.Record(decision.Process{What: "stopped", Note: errorText(err)})
 	return err
 }
 
@@ -255,13 +255,13 @@
 func (b *Box) housekeeping() {
 	b.pauseDetector.check()
 	b.registry.Expire()
-	b.balance.SetOthers(b.peering.mesh.Others())
-	b.balance.SetRunning(b.peering.mesh.Running())
-	b.balance.SetOthersAge(b.peering.mesh.OthersAgeMs())
+	b.balance.SetOthersInFlight(b.peering.mesh.OthersInFlight())
+	b.balance.SetFleetInFlightByPool(b.peering.mesh.FleetInFlightByPool())
+	b.balance.SetOthersInFlightAge(b.peering.mesh.OthersInFlightAgeMs())
 	b.balance.Refresh()
-	b.peering.mesh.ExpirePlaces()
+	b.peering.mesh.ExpirePermits()
 	b.quarantine.Expire()
-	b.crashes.expire()
+	b.crashDetector.expire()
 	b.budgets.SetReserve(max(1, int(float64(b.settings.Load().Budget.Slack)*localBudgetShare)/b.peering.mesh.Boxes()))
 }
 
@@ -269,7 +269,7 @@
 func (b *Box) Reload(settings config.Gateway) {
 	withDefaults := defaults(settings)
 	b.settings.Store(&withDefaults)
-	b.log.Tell(decision.Process{What: "settings reloaded"})
+	b.log.Record(decision.Process{What: "settings reloaded"})
 }
 
 // Timing of a graceful shutdown.
@@ -283,13 +283,13 @@
 // stop shuts the box down gracefully. The box reports not ready and continues to serve requests until the front load
 // balancer has stopped sending new ones, then lets running requests finish.
 func (b *Box) stop(ctx context.Context) error {
-	startMs := b.clock.Steady()
+	startMs := b.clock.Monotonic()
 	b.stopping.Store(true)
-	b.log.Tell(decision.Process{What: "stopping"})
-	b.peering.mesh.Leave()
+	b.log.Record(decision.Process{What: "stopping"})
+	b.peering.mesh.BroadcastDraining()
 	_ = b.clock.Sleep(ctx, timingOf(b.Settings()).announceMs)
 	grace := shutdownGrace(b.Settings())
-	ctx, cancel := b.clock.WithTimeout(ctx, max(1, grace-exitReserveMs-(b.clock.Steady()-startMs)))
+	ctx, cancel := b.clock.WithTimeout(ctx, max(1, grace-exitReserveMs-(b.clock.Monotonic()-startMs)))
 	defer cancel()
 	errs := []error{}
 	for _, s := range b.servers {
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -27,7 +27,7 @@
 func dialect() *opaque.Dialect {
 	return &opaque.Dialect{
 		RequestID: "X-Id", DeadlineMs: "X-Deadline", Organisation: "X-Organisation", ExpectUpstream: "X-Expect",
-		NotRun: "X-Not-Run", Word: decodeFeedback, ToBox: []string{"X-Load", "X-Not-Run"}, Urgency: "X-Urgency", Prompt: "X-Prompt", LastEventID: "Last-Event-Id",
+		NotRun: "X-Not-Run", DecodeSignals: decodeSignals, BoxResponseHeaders: []string{"X-Load", "X-Not-Run"}, Urgency: "X-Urgency", Prompt: "X-Prompt", LastEventID: "Last-Event-Id",
 		FetchFrom: "X-Fetch", Reserved: []string{"X-Reserved"},
 		Key:        func(h http.Header) string { return h.Get("Authorization") },
 		RetryAfter: func(span clock.Millis) string { return strconv.FormatInt(int64(span), 10) + "ms" },
@@ -36,18 +36,18 @@
 
 // Headers with which the tests' upstreams report their own state.
 const (
-	headerRestMs  = "X-Rest-Ms"
-	headerLeaving = "X-Leaving"
+	headerBackoffMs = "X-Rest-Ms"
+	headerDraining  = "X-Leaving"
 )
 
-// decodeFeedback decodes what an upstream reports about itself in response headers.
-func decodeFeedback(_ int, header http.Header) opaque.Word {
+// decodeSignals decodes what an upstream reports about itself in response headers.
+func decodeSignals(_ int, header http.Header) opaque.Signals {
 	holds, err := strconv.Atoi(header.Get("X-Load"))
-	w := opaque.Word{Leaving: header.Get(headerLeaving) != "", Holds: holds, TellsLoad: err == nil}
-	if value := header.Get(headerRestMs); value != "" {
-		var restMs int
-		restMs, w.Err = strconv.Atoi(value)
-		w.RestMs = clock.Millis(restMs)
+	w := opaque.Signals{Draining: header.Get(headerDraining) != "", InFlight: holds, HasLoad: err == nil}
+	if value := header.Get(headerBackoffMs); value != "" {
+		var backoffMs int
+		backoffMs, w.Err = strconv.Atoi(value)
+		w.BackoffMs = clock.Millis(backoffMs)
 	}
 	return w
 }
@@ -58,14 +58,15 @@
 	network *testlib.Network
 	store   *store
 	clock   clock.Clock
-	// steadyOffsetMs and wallOffsetMs are the offsets of the boxes' steady clock and wall clock from the fake clock.
-	steadyOffsetMs, wallOffsetMs atomic.Int64
+	// monotonicOffsetMs and wallOffsetMs are the offsets of the boxes' monotonic clock and wall clock from the fake
+	// clock.
+	monotonicOffsetMs, wallOffsetMs atomic.Int64
 	// out receives the boxes' log lines.
 	out io.Writer
 }
 
-// advanceSteady advances the boxes' steady clock, but not the timers that wait on the fake clock.
-func (f *fleet) advanceSteady(span clock.Millis) { f.steadyOffsetMs.Add(int64(span)) }
+// advanceMonotonic advances the boxes' monotonic clock, but not the timers that wait on the fake clock.
+func (f *fleet) advanceMonotonic(span clock.Millis) { f.monotonicOffsetMs.Add(int64(span)) }
 
 // stepWallClock steps the boxes' wall clock.
 func (f *fleet) stepWallClock(span clock.Millis) { f.wallOffsetMs.Add(int64(span)) }
@@ -89,7 +90,7 @@
 	f := &fleet{t: t, network: testlib.NewNetwork(), store: newStore(), out: io.Discard}
 	base := clock.New()
 	f.clock = clock.New(
-		clock.WithSteady(func() clock.Millis { return base.Steady() + clock.Millis(f.steadyOffsetMs.Load()) }),
+		clock.WithMonotonic(func() clock.Millis { return base.Monotonic() + clock.Millis(f.monotonicOffsetMs.Load()) }),
 		clock.WithNow(func() clock.Millis { return base.Now() + clock.Millis(f.wallOffsetMs.Load()) }),
 	)
 	f.store.setState(t, content(1))
@@ -288,7 +289,7 @@
 // storeReaderOf returns the box that reads the store for the others.
 func storeReaderOf(boxes []*running) *running {
 	for _, b := range boxes {
-		if b.peering.mesh.IsSource() {
+		if b.peering.mesh.IsStoreReader() {
 			return b
 		}
 	}
--- a/internal/gateway/ignored_inputs.go
+++ b/internal/gateway/ignored_inputs.go
@@ -24,17 +24,17 @@
 	lastLogged map[string]clock.Millis
 }
 
-// Ignored counts an invalid input and logs it, at a limited rate.
-func (b *Box) Ignored(input string, err error) {
+// ReportInvalidInput counts an invalid input and logs it, at a limited rate.
+func (b *Box) ReportInvalidInput(input string, err error) {
 	b.metrics.InputIgnored()
 	if b.ignoredInputs.shouldLog(input) {
-		b.log.Tell(decision.InputIgnored{Input: input, Err: err.Error()})
+		b.log.Record(decision.InputIgnored{Input: input, Err: err.Error()})
 	}
 }
 
 // shouldLog reports whether an error of this input is to be logged now.
 func (l *ignoredInputLog) shouldLog(input string) bool {
-	now := l.box.clock.Steady()
+	now := l.box.clock.Monotonic()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if at, known := l.lastLogged[input]; known && now-at < relogIntervalMs {
--- a/internal/gateway/notes_sync.go
+++ b/internal/gateway/notes_sync.go
@@ -15,10 +15,10 @@
 // Notes gives access to the notes in the store: small records that boxes write for boxes that start later or that
 // they can't reach.
 type Notes struct {
-	// Keep writes a note under a name; an empty note deletes it.
-	Keep func(ctx context.Context, name string, note []byte) error
-	// All returns all notes by their names, and the era of the store that holds them.
-	All func(ctx context.Context) (notes map[string][]byte, era int64, err error)
+	// Put writes a note under a name; an empty note deletes it.
+	Put func(ctx context.Context, name string, note []byte) error
+	// List returns all notes by their names, and the era of the store that holds them.
+	List func(ctx context.Context) (notes map[string][]byte, era int64, err error)
 	// Era returns the newest era of the store that was observed. A change of era means that notes may be lost.
 	Era func() int64
 }
@@ -47,9 +47,9 @@
 	Fingerprint quarantine.Fingerprint `json:"fingerprint"`
 	// Upstreams are the incarnations that crashed while running such a request.
 	Upstreams []namekey.Key `json:"upstreams"`
-	// EndedMs is the wall-clock time of the newest crash, by the clock of the box that wrote the note. It only
+	// CrashedMs is the wall-clock time of the newest crash, by the clock of the box that wrote the note. It only
 	// bounds an age of minutes, so a clock skew of some seconds does no harm.
-	EndedMs clock.Millis `json:"ended_ms"`
+	CrashedMs clock.Millis `json:"ended_ms"`
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -68,12 +68,12 @@
 	}
 }
 
-// crashes returns the crashes that the note records.
-func (n *suspectNote) crashes(now clock.Millis) []quarantine.Ending {
-	list := make([]quarantine.Ending, 0, len(n.Upstreams))
+// crashEvents returns the crashes that the note records.
+func (n *suspectNote) crashEvents(now clock.Millis) []quarantine.CrashEvent {
+	list := make([]quarantine.CrashEvent, 0, len(n.Upstreams))
 	for _, upstream := range n.Upstreams {
-		list = append(list, quarantine.Ending{
-			Fingerprint: n.Fingerprint, Upstream: upstream, AgeMs: max(0, now-n.EndedMs),
+		list = append(list, quarantine.CrashEvent{
+			Fingerprint: n.Fingerprint, Upstream: upstream, AgeMs: max(0, now-n.CrashedMs),
 		})
 	}
 	return list
@@ -97,7 +97,7 @@
 // syncNotes synchronises the notes with the store until the context ends.
 func (b *Box) syncNotes(ctx context.Context) {
 	n := &noteSyncer{box: b, notes: b.source.Notes, written: map[string]int{}}
-	if n.notes.Keep == nil {
+	if n.notes.Put == nil {
 		return
 	}
 	for ctx.Err() == nil {
@@ -117,7 +117,7 @@
 		return noteSyncIntervalMs
 	}
 	if n.failures == 0 && ctx.Err() == nil {
-		n.box.Ignored("notes in the store", err)
+		n.box.ReportInvalidInput("notes in the store", err)
 	}
 	wait := min(minNotesRetryMs<<min(n.failures, maxDoublings), maxNotesRetryMs)
 	n.failures++
@@ -128,7 +128,7 @@
 const maxDoublings = 8
 
 func (n *noteSyncer) readIfDue(ctx context.Context) error {
-	now := n.box.clock.Steady()
+	now := n.box.clock.Monotonic()
 	if n.read && n.notes.Era() != n.era {
 		// Notes written after the store's snapshot was taken are written again.
 		n.read = false
@@ -138,7 +138,7 @@
 	if n.read && !reread {
 		return nil
 	}
-	all, era, err := n.notes.All(ctx)
+	all, era, err := n.notes.List(ctx)
 	if err != nil {
 		return err
 	}
@@ -151,18 +151,18 @@
 
 // readerMissesPeer reports whether this box reads the store for others and a known box is unreachable.
 func (n *noteSyncer) readerMissesPeer() bool {
-	return n.box.peering.mesh.IsSource() && n.box.peering.mesh.Missing()
+	return n.box.peering.mesh.IsStoreReader() && n.box.peering.mesh.HasMissingBox()
 }
 
 // applyNote adds the crashes of a note to the quarantine.
 func (n *noteSyncer) applyNote(name string, data []byte) {
 	var note suspectNote
 	if err := json.Unmarshal(data, &note); err != nil {
-		n.box.Ignored("note "+name+" in the store", err)
+		n.box.ReportInvalidInput("note "+name+" in the store", err)
 		return
 	}
 	n.written[name] = len(note.Upstreams)
-	n.box.crashes.learnFrom("store", note.crashes(n.box.clock.Now()))
+	n.box.crashDetector.recordFrom("store", note.crashEvents(n.box.clock.Now()))
 }
 
 // noteName returns the name of this failure domain's note on a suspect. The failure domain is part of it because
@@ -174,7 +174,7 @@
 // writeIfDue writes missing and outdated notes, and deletes the notes of fingerprints that are no longer suspects.
 // It deletes the notes of all failure domains, since some domains may no longer exist.
 func (n *noteSyncer) writeIfDue(ctx context.Context) error {
-	if !n.box.peering.mesh.IsSource() {
+	if !n.box.peering.mesh.IsStoreReader() {
 		return nil
 	}
 	ledger := n.box.quarantine
@@ -191,7 +191,7 @@
 		if fingerprint := name[:min(len(name), fingerprintDigits)]; known[fingerprint] {
 			continue
 		}
-		if err := n.notes.Keep(ctx, name, nil); err != nil {
+		if err := n.notes.Put(ctx, name, nil); err != nil {
 			return err
 		}
 		delete(n.written, name)
@@ -206,21 +206,21 @@
 // unreachable, those that are about to be quarantined.
 func (n *noteSyncer) fingerprintsToNote() []quarantine.Suspect {
 	if n.readerMissesPeer() {
-		return n.box.quarantine.Suspects(min(minNotedCrashes, max(1, n.box.quarantine.Settings().Ends)))
+		return n.box.quarantine.Suspects(min(minNotedCrashes, max(1, n.box.quarantine.Settings().MinCrashes)))
 	}
-	return n.box.quarantine.Held()
+	return n.box.quarantine.Quarantined()
 }
 
 func (n *noteSyncer) write(ctx context.Context, s quarantine.Suspect) error {
 	name := n.noteName(s)
-	if n.written[name] >= min(len(s.Upstreams), n.box.quarantine.Settings().Ends) {
+	if n.written[name] >= min(len(s.Upstreams), n.box.quarantine.Settings().MinCrashes) {
 		return nil
 	}
 	// A suspectNote consists of numbers, which always encode.
 	data, _ := json.Marshal(suspectNote{
-		Fingerprint: s.Fingerprint, Upstreams: s.Upstreams, EndedMs: n.box.clock.Now() - s.AgeMs,
+		Fingerprint: s.Fingerprint, Upstreams: s.Upstreams, CrashedMs: n.box.clock.Now() - s.AgeMs,
 	})
-	if err := n.notes.Keep(ctx, name, data); err != nil {
+	if err := n.notes.Put(ctx, name, data); err != nil {
 		return err
 	}
 	n.written[name] = len(s.Upstreams)
--- a/internal/gateway/paths.go
+++ b/internal/gateway/paths.go
@@ -22,14 +22,14 @@
 func (b *Box) watchPaths(ctx context.Context) {
 	var probing sync.WaitGroup
 	defer probing.Wait()
-	lastMs := b.clock.Steady()
+	lastMs := b.clock.Monotonic()
 	b.clock.Every(ctx, pathCheckIntervalMs, func(clock.Millis) {
 		b.pauseDetector.check()
 		b.pauseDetector.pingIfStale()
-		now := b.clock.Steady()
+		now := b.clock.Monotonic()
 		stalled := now-lastMs > pathCheckIntervalMs+stallThresholdMs
 		lastMs = now
-		for _, probe := range b.balance.Probes(b.peering.mesh.AskEach(), stalled) {
+		for _, probe := range b.balance.Probes(b.peering.mesh.DomainPingIntervals(), stalled) {
 			probing.Go(func() { b.probe(ctx, probe) })
 		}
 	})
@@ -37,15 +37,15 @@
 
 // probe checks whether connections to a failure domain open, and logs a change.
 func (b *Box) probe(ctx context.Context, probe balance.Probe) {
-	startMs := b.clock.Steady()
+	startMs := b.clock.Monotonic()
 	reachable := anyReachable(ctx, probe.Clients)
-	if !reachable && b.clock.Steady()-startMs > upstream.ReachMs+stallThresholdMs {
+	if !reachable && b.clock.Monotonic()-startMs > upstream.HostReachableTimeoutMs+stallThresholdMs {
 		// This process stalled during the probe, so its timeouts prove nothing.
 		reachable = anyReachable(ctx, probe.Clients)
 	}
-	if downMs, changed := b.balance.Probed(probe.FailureDomain, reachable); changed {
-		b.log.Tell(decision.Dependency{
-			Dependency: "path to a failure domain", ID: probe.FailureDomain, Lost: !reachable, AwayMs: downMs,
+	if downMs, changed := b.balance.RecordProbe(probe.FailureDomain, reachable); changed {
+		b.log.Record(decision.Dependency{
+			Dependency: "path to a failure domain", ID: probe.FailureDomain, Unavailable: !reachable, UnavailableMs: downMs,
 		})
 	}
 }
@@ -54,7 +54,7 @@
 func anyReachable(ctx context.Context, clients []*upstream.Client) bool {
 	results := make(chan bool, len(clients))
 	for _, client := range clients {
-		go func(c *upstream.Client) { results <- c.Reach(ctx) }(client)
+		go func(c *upstream.Client) { results <- c.HostReachable(ctx) }(client)
 	}
 	for range clients {
 		if <-results {
--- a/internal/gateway/peering.go
+++ b/internal/gateway/peering.go
@@ -16,13 +16,14 @@
 // ListenPackets opens a UDP socket; tests replace it.
 type ListenPackets func(network, address string) (net.PacketConn, error)
 
-// answerQueueSize is the length of the queue of answers from other boxes: more than arrive in a few gossip rounds.
-const answerQueueSize = 64
+// peerStateQueueSize is the length of the queue of states received from other boxes: more than arrive in a few gossip
+// rounds.
+const peerStateQueueSize = 64
 
 // directReadAgeMs returns the age of the confirmation above which a box reads the store directly. Boxes that read for
 // others don't learn of draining upstreams while their reads get no response, so the age leaves time for a direct read.
 // It is never below the age that a confirmation normally reaches: a reader confirms its state once per poll and is
-// asked once per gossip period, and one answer may be lost.
+// pinged once per gossip period, and one reply may be lost.
 func (p *peering) directReadAgeMs() clock.Millis {
 	settings := p.box.Settings()
 	return timingOf(settings).directReadAgeMs(settings, p.mesh.Period())
@@ -30,10 +31,10 @@
 
 // peering exchanges state with the other boxes of the fleet.
 type peering struct {
-	box     *Box
-	mesh    *mesh.Mesh
-	client  *relay.Client
-	answers chan mesh.Answer
+	box        *Box
+	mesh       *mesh.Mesh
+	client     *relay.Client
+	peerStates chan mesh.PeerState
 	// startedMs is when this box joined the mesh.
 	startedMs clock.Millis
 }
@@ -47,7 +48,7 @@
 	}
 	p := &peering{
 		box: b, client: relay.NewClient(b.dial),
-		answers: make(chan mesh.Answer, answerQueueSize), startedMs: b.clock.Steady(),
+		peerStates: make(chan mesh.PeerState, peerStateQueueSize), startedMs: b.clock.Monotonic(),
 	}
 	p.mesh = mesh.New(mesh.Dependencies{
 		Self: mesh.Identity{
@@ -55,11 +56,11 @@
 			Incarnation: int64(b.clock.Now()),
 		},
 		Clock: b.clock, PeriodMs: timingOf(*settings).periodMs, Conn: conn,
-		Contacts: p.contacts, Knowledge: b.meshKnowledge, InFlight: b.balance.InFlight,
-		Running:   b.balance.Running,
-		KeptSince: b.balance.KeptSince, LearnKept: b.balance.LearnKept,
-		EndingsSince: b.quarantine.Since, LearnEndings: b.crashes.learnFromPeer,
-		Answered: p.enqueue, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Contacts: p.contacts, StateSummary: b.stateSummary, InFlight: b.balance.InFlight,
+		InFlightByPool:     b.balance.InFlightByPool,
+		AnnouncementsSince: b.balance.AnnouncementsSince, RecordAnnouncements: b.balance.RecordAnnouncements,
+		CrashEventsSince: b.quarantine.EventsSince, RecordCrashEvents: b.crashDetector.recordFromPeer,
+		OnPeerState: p.enqueue, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	b.peering = p
 	b.metrics.Publish("mesh", func() any { return p.mesh.Sizes() })
@@ -82,11 +83,12 @@
 	return addresses
 }
 
-// enqueue queues an answer. If the queue is full the answer is dropped, since a later one carries the same information.
-func (p *peering) enqueue(a mesh.Answer) {
-	p.box.balance.HeardFrom(a.From.FailureDomain)
+// enqueue queues the state of another box. If the queue is full the state is dropped, since a later one carries the
+// same information.
+func (p *peering) enqueue(a mesh.PeerState) {
+	p.box.balance.RecordContact(a.From.FailureDomain)
 	select {
-	case p.answers <- a:
+	case p.peerStates <- a:
 	default:
 	}
 }
@@ -94,33 +96,33 @@
 func (p *peering) run(ctx context.Context) {
 	for {
 		select {
-		case a := <-p.answers:
-			p.applyAnswer(ctx, a)
+		case a := <-p.peerStates:
+			p.applyPeerState(ctx, a)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// applyAnswer fetches newer state from another box. A confirmation counts from the time at which this box asked for it.
-func (p *peering) applyAnswer(ctx context.Context, a mesh.Answer) {
-	local := p.box.meshKnowledge()
+// applyPeerState fetches newer state from another box. A confirmation counts from the time of the ping that it answers.
+func (p *peering) applyPeerState(ctx context.Context, a mesh.PeerState) {
+	local := p.box.stateSummary()
 	if local.Position.IsZero() && p.inInitialRead() {
 		return
 	}
-	if !a.Knowledge.Position.IsZero() {
-		p.box.observeEra(max(a.Knowledge.Era, a.Knowledge.Position.Era), "box "+a.From.Box)
+	if !a.StateSummary.Position.IsZero() {
+		p.box.observeEra(max(a.StateSummary.Era, a.StateSummary.Position.Era), "box "+a.From.Box)
 	}
-	p.box.registry.Confirm(a.Knowledge.Position)
-	if a.Knowledge.Version > local.Version || local.Position.Before(a.Knowledge.Position) {
+	p.box.registry.Confirm(a.StateSummary.Position)
+	if a.StateSummary.Version > local.Version || local.Position.Before(a.StateSummary.Position) {
 		if err := p.fetch(ctx, a.From, local); err != nil {
-			p.box.log.Tell(decision.InputIgnored{Input: "news of box " + a.From.Box, Err: err.Error()})
+			p.box.log.Record(decision.InputIgnored{Input: "news of box " + a.From.Box, Err: err.Error()})
 			return
 		}
 	}
-	if a.AskedMs > 0 && a.Knowledge.AgeMs >= 0 {
+	if a.PingedMs > 0 && a.StateSummary.AgeMs >= 0 {
 		p.box.routingState.Confirm(routing.Confirmation{
-			Version: a.Knowledge.Version, Era: a.Knowledge.Era, AtMs: a.AskedMs - a.Knowledge.AgeMs,
+			Version: a.StateSummary.Version, Era: a.StateSummary.Era, AtMs: a.PingedMs - a.StateSummary.AgeMs,
 		})
 	}
 }
@@ -131,10 +133,10 @@
 
 // inInitialRead reports whether the box may still be in its first read of the store, which has not failed.
 func (p *peering) inInitialRead() bool {
-	return !p.box.storeLost.Load() && p.box.clock.Steady()-p.startedMs < initialReadMs
+	return !p.box.storeUnavailable.Load() && p.box.clock.Monotonic()-p.startedMs < initialReadMs
 }
 
-func (p *peering) fetch(ctx context.Context, from mesh.Identity, local mesh.Knowledge) error {
+func (p *peering) fetch(ctx context.Context, from mesh.Identity, local mesh.StateSummary) error {
 	reply, err := p.client.Fetch(ctx, from.Address, local.Version, local.Position)
 	if err != nil {
 		return err
@@ -151,18 +153,18 @@
 	return nil
 }
 
-// startupSettleMs is how long a box that has just received its state waits to hear from the boxes that read the store
+// startupSettleMs is how long a box that has just received its state waits for states of the boxes that read the store
 // for others: a few gossip rounds.
 const startupSettleMs clock.Millis = 700
 
 // needsStoreRead reports whether this box must read a stream of its store itself now. After a stream was read once,
 // the box first reads the other streams or receives them from other boxes.
 func (p *peering) needsStoreRead(wasRead bool) bool {
-	if !wasRead && (p.box.routingState.State() == nil || !p.box.registry.Filled()) {
+	if !wasRead && (p.box.routingState.State() == nil || !p.box.registry.Synced()) {
 		return true
 	}
-	if p.box.clock.Steady()-p.startedMs < startupSettleMs {
+	if p.box.clock.Monotonic()-p.startedMs < startupSettleMs {
 		return false
 	}
-	return p.box.routingState.AgeMs() > p.directReadAgeMs() || p.mesh.IsSource()
+	return p.box.routingState.AgeMs() > p.directReadAgeMs() || p.mesh.IsStoreReader()
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -23,7 +23,7 @@
 // ID, mostly at another box, is sent to an engine that is still running, and crashed engines restart after some seconds
 // and crash again: 19 engines crashed like this within 20 s.
 //
-// It happened because a box knew of a request only until its response broke, and boxes did not share this knowledge.
+// It happened because a box knew of a request only until its response broke, and boxes did not share that.
 // The fingerprint in log lines (equal for equal method, path, organisation and body) shows such a request: the same
 // fingerprint appears at each crash, with different request IDs and at different boxes, and no box retried it itself.
 
@@ -92,13 +92,13 @@
 func (a *crashRecorder) recordSend() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.sendsMs = append(a.sendsMs, a.fleet.clock.Steady())
+	a.sendsMs = append(a.sendsMs, a.fleet.clock.Monotonic())
 }
 
 // crash stops an upstream and restarts it later.
 func (a *crashRecorder) crash(server *http.Server, slot int, id string) {
 	a.mu.Lock()
-	a.crashesMs = append(a.crashesMs, a.fleet.clock.Steady())
+	a.crashesMs = append(a.crashesMs, a.fleet.clock.Monotonic())
 	a.mu.Unlock()
 	_ = server.Close()
 	if a.fleet.clock.Sleep(a.fleet.t.Context(), restartDelayMs) != nil {
@@ -219,7 +219,7 @@
 	t.Run("is sent if operators have disabled the quarantine", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			a := newCrashRecorder(f, 8)
-			b := f.box(1, func(g *config.Gateway) { g.Quarantine.AfterEnds = new(int) })
+			b := f.box(1, func(g *config.Gateway) { g.Quarantine.MinCrashes = new(int) })
 			a.resend([]*running{b}, "/stream/", 20, time.Second)
 			assert.Len(f.t, a.sendsMs, 20)
 		})
--- /dev/null
+++ b/internal/gateway/signals.go
@@ -0,0 +1,28 @@
+package gateway
+
+import (
+	"dooryard.example/dooryard/internal/balance"
+	"dooryard.example/dooryard/internal/decision"
+	"dooryard.example/dooryard/internal/opaque"
+)
+
+// handleSignals processes what an upstream reports about itself in response headers: its load, that it asks this box
+// for a backoff without requests, or that it is draining. It logs the start of a backoff, and draining once.
+func (b *Box) handleSignals(request string, lease *balance.Lease, signals opaque.Signals) {
+	if signals.HasLoad {
+		lease.Report(signals.InFlight)
+	}
+	if signals.Err != nil {
+		b.ReportInvalidInput("response headers of upstream "+lease.ID, signals.Err)
+	}
+	event := decision.UpstreamSignaled{Upstream: lease.Incarnation(), Pool: lease.Pool, Request: request}
+	if signals.Draining && lease.MarkDraining() {
+		b.metrics.DrainingAnnounced()
+		b.log.Record(event)
+	}
+	if signals.BackoffMs > 0 && lease.BackOff(signals.BackoffMs, request) {
+		b.metrics.BackoffRequested()
+		event.BackoffMs = signals.BackoffMs
+		b.log.Record(event)
+	}
+}
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -10,14 +10,14 @@
 	"dooryard.example/dooryard/internal/routing"
 )
 
-// Sink receives what a source of routing state reads. Durations and instants are those of the steady clock.
+// Sink receives what a source of routing state reads. Durations and instants are those of the monotonic clock.
 type Sink struct {
-	// Wanted reports whether the source should read a stream now. It need not if other boxes read for this one.
-	Wanted func(stream string) bool
-	// ReadsForOthers reports whether other boxes depend on what the source reads.
-	ReadsForOthers func() bool
-	// Met reports the era of a response of the store.
-	Met func(era int64)
+	// ShouldRead reports whether the source should read a stream now. It need not if other boxes read for this one.
+	ShouldRead func(stream string) bool
+	// RelaysReads reports whether other boxes depend on what the source reads.
+	RelaysReads func() bool
+	// ObserveEra reports the era of a response of the store.
+	ObserveEra func(era int64)
 	// Adopt applies a routing state that was read in an era, if it is newer than the current one.
 	Adopt func(s *routing.State, era int64)
 	// Confirm reports that the state last passed to Adopt was still the newest at an instant, according to a response of
@@ -29,10 +29,10 @@
 	AllUpstreams func(all []registry.Change, at position.Position)
 	// Position returns the position of the newest known change of the upstreams.
 	Position func() position.Position
-	// Reached reports the result of a read of a stream; the error is nil if it succeeded.
-	Reached func(stream string, err error)
-	// Ignored reports an invalid input.
-	Ignored func(input string, err error)
+	// ReportRead reports the result of a read of a stream; the error is nil if it succeeded.
+	ReportRead func(stream string, err error)
+	// ReportInvalidInput reports an invalid input.
+	ReportInvalidInput func(input string, err error)
 }
 
 // recoveryGraceMs is how long after the recovery of a store entries may still expire only because it was unavailable:
@@ -44,10 +44,10 @@
 	box    *Box
 	source string
 
-	mu          sync.Mutex
-	version     int64
-	lostSince   map[string]clock.Millis
-	recoveredMs clock.Millis
+	mu               sync.Mutex
+	version          int64
+	unavailableSince map[string]clock.Millis
+	recoveredMs      clock.Millis
 	// lastReadMs holds the time of the last successful read of each stream that was read at least once.
 	lastReadMs map[string]clock.Millis
 	// lastFailureMs is when a read last failed.
@@ -55,14 +55,18 @@
 }
 
 func (b *Box) newStoreSink(source string) *storeSink {
-	return &storeSink{box: b, source: source, lostSince: map[string]clock.Millis{}, lastReadMs: map[string]clock.Millis{}}
+	return &storeSink{
+		box: b, source: source,
+		unavailableSince: map[string]clock.Millis{}, lastReadMs: map[string]clock.Millis{},
+	}
 }
 
 func (s *storeSink) asSink() Sink {
 	return Sink{
-		Wanted: s.wanted, ReadsForOthers: s.box.peering.mesh.IsSource, Met: s.met, Adopt: s.adopt, Confirm: s.confirm,
+		ShouldRead: s.shouldRead, RelaysReads: s.box.peering.mesh.IsStoreReader, ObserveEra: s.observeEra,
+		Adopt: s.adopt, Confirm: s.confirm,
 		Upstreams: s.upstreams, AllUpstreams: s.allUpstreams,
-		Position: s.box.registry.Position, Reached: s.reached, Ignored: s.box.Ignored,
+		Position: s.box.registry.Position, ReportRead: s.reportRead, ReportInvalidInput: s.box.ReportInvalidInput,
 	}
 }
 
@@ -78,30 +82,30 @@
 	return len(s.lastReadMs) > 0
 }
 
-// lostStoreRetryMs is how often a box that can't read the store, but gets everything from other boxes, retries the
-// store so that it can read for others again. The interval is long because each refused read is charged for.
-const lostStoreRetryMs = 5 * clock.Second
+// unavailableStoreRetryMs is how often a box that can't read the store, but gets everything from other boxes, retries
+// the store so that it can read for others again. The interval is long because each refused read is charged for.
+const unavailableStoreRetryMs = 5 * clock.Second
 
-// wanted reports whether a stream is to be read. A box that does not read for others and has lost the store tries only
-// one stream until the store is available again.
-func (s *storeSink) wanted(stream string) bool {
+// shouldRead reports whether a stream is to be read. A box that does not read for others and can't read the store tries
+// only one stream until the store is available again.
+func (s *storeSink) shouldRead(stream string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	needed := s.box.peering.needsStoreRead(s.lastReadMs[stream] > 0)
-	if needed && s.box.peering.mesh.IsSource() {
+	if needed && s.box.peering.mesh.IsStoreReader() {
 		return true
 	}
-	for lost := range s.lostSince {
-		if lost < stream {
+	for other := range s.unavailableSince {
+		if other < stream {
 			return false
 		}
 	}
 	// A box whose reads were refused retries from time to time, even if it needs nothing.
-	_, lost := s.lostSince[stream]
-	return needed || lost && s.box.clock.Steady()-s.lastFailureMs >= lostStoreRetryMs
+	_, unavailable := s.unavailableSince[stream]
+	return needed || unavailable && s.box.clock.Monotonic()-s.lastFailureMs >= unavailableStoreRetryMs
 }
 
-func (s *storeSink) met(era int64) { s.box.observeEra(era, s.source) }
+func (s *storeSink) observeEra(era int64) { s.box.observeEra(era, s.source) }
 
 func (s *storeSink) adopt(state *routing.State, era int64) {
 	s.mu.Lock()
@@ -121,58 +125,58 @@
 	span := s.removalGrace()
 	for i := range changes {
 		if !changes[i].Unusable {
-			changes[i].LapseMs = span
+			changes[i].GraceMs = span
 		}
 	}
 	s.box.announceUpstreams(s.box.registry.Apply(changes), s.source)
 }
 
 func (s *storeSink) allUpstreams(all []registry.Change, at position.Position) {
-	s.box.announceUpstreams(s.box.registry.Replace(all, at, s.removalGrace()), s.source)
+	s.box.announceUpstreams(s.box.registry.ApplySnapshot(all, at, s.removalGrace()), s.source)
 }
 
 // removalGrace returns how long an entry that disappears now may reappear before its upstream is removed. Entries of
-// running upstreams disappear only because of an outage or a restoration of the store.
+// running upstreams disappear only because the store was unavailable or restored.
 func (s *storeSink) removalGrace() clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	removalGraceMs := timingOf(s.box.Settings()).removalGraceMs
-	if len(s.lostSince) > 0 {
+	if len(s.unavailableSince) > 0 {
 		return removalGraceMs
 	}
 	recoveredMs := max(s.recoveredMs, s.box.restoredMs())
 	if recoveredMs == 0 {
 		return 0
 	}
-	return max(0, min(removalGraceMs, recoveredMs+recoveryGraceMs-s.box.clock.Steady()))
+	return max(0, min(removalGraceMs, recoveredMs+recoveryGraceMs-s.box.clock.Monotonic()))
 }
 
-// reached records and logs the loss and the recovery of a stream of the store.
-func (s *storeSink) reached(stream string, err error) {
-	now := s.box.clock.Steady()
+// reportRead records and logs when a stream becomes unavailable and available again of the store.
+func (s *storeSink) reportRead(stream string, err error) {
+	now := s.box.clock.Monotonic()
 	s.mu.Lock()
 	if err != nil {
 		s.lastFailureMs = now
 	} else {
 		s.lastReadMs[stream] = now
 	}
-	since, wasLost := s.lostSince[stream]
+	since, wasUnavailable := s.unavailableSince[stream]
 	event := decision.Dependency{Dependency: s.source, ID: stream}
 	switch {
-	case err != nil && !wasLost:
-		s.lostSince[stream] = now
-		event.Lost, event.Err = true, err.Error()
-	case err == nil && wasLost:
-		delete(s.lostSince, stream)
+	case err != nil && !wasUnavailable:
+		s.unavailableSince[stream] = now
+		event.Unavailable, event.Err = true, err.Error()
+	case err == nil && wasUnavailable:
+		delete(s.unavailableSince, stream)
 		s.recoveredMs = now
-		event.AwayMs = now - since
+		event.UnavailableMs = now - since
 	default:
 		s.mu.Unlock()
 		return
 	}
-	s.box.storeLost.Store(len(s.lostSince) > 0)
+	s.box.storeUnavailable.Store(len(s.unavailableSince) > 0)
 	s.mu.Unlock()
-	s.box.log.Tell(event)
+	s.box.log.Record(event)
 }
 
 // adopt applies a routing state if it is newer, logs it and notifies the other boxes.
@@ -180,7 +184,7 @@
 	if !b.routingState.Adopt(state, era) {
 		return
 	}
-	b.log.Tell(decision.StateAdopted{Version: state.Version(), Source: source, Routes: state.RouteCount()})
+	b.log.Record(decision.StateAdopted{Version: state.Version(), Source: source, Routes: state.RouteCount()})
 	b.updateSynced()
 	b.peering.mesh.Broadcast()
 }
@@ -188,12 +192,12 @@
 // announceUpstreams logs effective changes of the upstreams and notifies the other boxes.
 func (b *Box) announceUpstreams(changes []registry.Change, source string) {
 	for _, c := range changes {
-		b.log.Tell(decision.UpstreamChanged{
+		b.log.Record(decision.UpstreamChanged{
 			Upstream: c.Upstream.ID, Pool: c.Upstream.Pool, Address: c.Upstream.Address,
 			State: upstreamState(c), Source: source,
 		})
 	}
-	b.crashes.handleChanges(changes)
+	b.crashDetector.handleChanges(changes)
 	if len(changes) > 0 {
 		b.updateSynced()
 		b.peering.mesh.Broadcast()
@@ -203,7 +207,7 @@
 // upstreamState returns the state after a change, as written to the log.
 func upstreamState(c registry.Change) string {
 	switch {
-	case c.Gone:
+	case c.Removed:
 		return "gone"
 	case c.Upstream.Draining:
 		return "draining"
--- a/internal/load/demo.go
+++ b/internal/load/demo.go
@@ -88,8 +88,8 @@
 	keys          sync.Map
 }
 
-// leaveGraceMs is the time after which a leaving upstream must get no new work.
-const leaveGraceMs = 3000
+// drainGraceMs is the time after which a leaving upstream must get no new work.
+const drainGraceMs = 3000
 
 func (d *demo) run(ctx context.Context) error {
 	if err := d.drainLastBox(); err != nil {
@@ -152,7 +152,7 @@
 			Chat: engine.Chat{Model: localfleet.Model, Messages: messages, Stream: true, MaxTokens: demoTokens},
 		})
 		d.chats.Add(result)
-		d.checkLeaving(result)
+		d.checkDraining(result)
 		if result.Verdict == Whole {
 			return
 		}
@@ -161,11 +161,11 @@
 	d.unanswered.Add(1)
 }
 
-// checkLeaving counts the requests that the drained engine got after the grace period.
-func (d *demo) checkLeaving(result Result) {
+// checkDraining counts the requests that the drained engine got after the grace period.
+func (d *demo) checkDraining(result Result) {
 	drained := clock.Millis(d.drainedMs.Load())
 	start := d.caller.Clock.Now() - result.DurationMs
-	if drained > 0 && result.Upstream == d.fleet.Engines()[0].Name && start > drained+leaveGraceMs {
+	if drained > 0 && result.Upstream == d.fleet.Engines()[0].Name && start > drained+drainGraceMs {
 		d.lateToLeaving.Add(1)
 	}
 }
--- a/internal/localfleet/control_test.go
+++ b/internal/localfleet/control_test.go
@@ -285,7 +285,7 @@
 	t.Run("according to its own report gets no new work after 3 s", func(t *testing.T) {
 		run(t, func(tf *testFleet) {
 			tf.wait(10_000)
-			tf.Engines()[0].SetLeaving(true)
+			tf.Engines()[0].SetDraining(true)
 			assertNoNewWork(tf, tf.Engines()[0])
 		}, withBoxes(3))
 	})
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -48,60 +48,60 @@
 	// box, so that boxes that forgot each other during a long partition find each other again.
 	newPeerSample    = 16
 	repliesPerSample = 16
-	// maxCachedParts limits the prompt parts that a datagram names, at 11 bytes each. It exceeds
+	// maxAnnouncements limits the prompt parts that a datagram names, at 11 bytes each. It exceeds
 	// the number of parts that a box's engines process while the box misses a cycle.
-	maxCachedParts = 64
-	// maxEndings limits the upstream endings that a datagram reports, at 16 bytes each.
-	// maxEndingsLarge applies in a large fleet, where a box sends and answers about seven datagrams
+	maxAnnouncements = 64
+	// maxCrashEvents limits the upstream crashes that a datagram reports, at 16 bytes each.
+	// maxCrashEventsLarge applies in a large fleet, where a box sends and answers about seven datagrams
 	// a second.
-	maxEndings      = 64
-	maxEndingsLarge = 16
+	maxCrashEvents      = 64
+	maxCrashEventsLarge = 16
 	// readersPerDomain is how many boxes of a failure domain read the store on behalf of it. Boxes
 	// of other domains are pinged too, so an unresponsive reader does no harm by itself.
 	readersPerDomain = 1
 )
 
-// Answer is the state of another box, observed at some instant between the ping and the reply.
-type Answer struct {
-	From      Identity
-	Knowledge Knowledge
-	// AskedMs is when this box sent its ping, or 0 for an unsolicited update.
-	AskedMs clock.Millis
+// PeerState is the state of another box, observed at some instant between the ping and the reply.
+type PeerState struct {
+	From         Identity
+	StateSummary StateSummary
+	// PingedMs is when this box sent its ping, or 0 for an unsolicited update.
+	PingedMs clock.Millis
 }
 
 // Mesh is this box's member of the gossip mesh. It is safe for concurrent use.
 type Mesh struct {
-	self             Identity
-	clock            clock.Clock
-	period           clock.Millis
-	conn             net.PacketConn
-	contacts         func() []string
-	knowledge        func() Knowledge
-	inFlight         func() map[namekey.Key]int
-	running          func() map[namekey.Key]int
-	ledger           *occupancy.Ledger
-	cachedParts      func(from int64, limit int) ([]prompt.Kept, int64)
-	learnCachedParts func(list []prompt.Kept)
-	endings          func(from int64, limit int) ([]quarantine.Ending, int64)
-	learnEndings     func(list []quarantine.Ending)
-	onAnswer         func(a Answer)
-	random           *rand.Rand
+	self                Identity
+	clock               clock.Clock
+	period              clock.Millis
+	conn                net.PacketConn
+	contacts            func() []string
+	stateSummary        func() StateSummary
+	inFlight            func() map[namekey.Key]int
+	inFlightByPool      func() map[namekey.Key]int
+	ledger              *occupancy.Ledger
+	announcementsSince  func(from int64, limit int) ([]prompt.CachedPart, int64)
+	recordAnnouncements func(list []prompt.CachedPart)
+	crashEventsSince    func(from int64, limit int) ([]quarantine.CrashEvent, int64)
+	recordCrashEvents   func(list []quarantine.CrashEvent)
+	onPeerState         func(a PeerState)
+	random              *rand.Rand
 
 	mu    sync.Mutex
 	peers map[string]*peer
 	// directPeers is the number of peers that sent a message themselves. The others are known only
 	// because another box named them.
 	directPeers int
-	leaving     bool
+	draining    bool
 	// toPing holds the boxes that are still to be pinged in this cycle.
 	toPing     []string
 	ignored    int64
 	sentBytes  int64
 	sendErrors int64
 
-	pendingSlots slotRequests
-	// slotTimeouts counts slot requests that no owner answered in time.
-	slotTimeouts int64
+	pendingPermits permitRequests
+	// permitTimeouts counts permit requests that no owner answered in time.
+	permitTimeouts int64
 }
 
 // Dependencies are what a Mesh needs from its box.
@@ -113,36 +113,36 @@
 	Conn     net.PacketConn
 	// Contacts returns addresses to ping while few boxes are known.
 	Contacts func() []string
-	// Knowledge returns the current knowledge of this box.
-	Knowledge func() Knowledge
+	// StateSummary returns the state summary of this box.
+	StateSummary func() StateSummary
 	// InFlight returns this box's requests in flight, by upstream.
 	InFlight func() map[namekey.Key]int
-	// Running returns this box's requests in flight, by pool. Large fleets exchange it instead of
-	// InFlight.
-	Running func() map[namekey.Key]int
-	// KeptSince returns the prompt parts that this box's requests put into engine caches from a
-	// sequence number on, up to a limit, and the sequence number to continue from. LearnKept
-	// receives the parts that other boxes report.
-	KeptSince func(from int64, limit int) ([]prompt.Kept, int64)
-	LearnKept func(list []prompt.Kept)
-	// EndingsSince returns this box's reports of ended upstreams from a sequence number on, as
-	// KeptSince does. LearnEndings receives the reports of other boxes.
-	EndingsSince func(from int64, limit int) ([]quarantine.Ending, int64)
-	LearnEndings func(list []quarantine.Ending)
-	// Answered receives the knowledge of another box. It must not block.
-	Answered func(a Answer)
-	Random   *rand.Rand
+	// InFlightByPool returns this box's requests in flight, by pool. Large fleets exchange it
+	// instead of InFlight.
+	InFlightByPool func() map[namekey.Key]int
+	// AnnouncementsSince returns the prompt parts that this box's requests put into engine caches
+	// from a sequence number on, up to a limit, and the sequence number to continue from.
+	// RecordAnnouncements receives the parts that other boxes report.
+	AnnouncementsSince  func(from int64, limit int) ([]prompt.CachedPart, int64)
+	RecordAnnouncements func(list []prompt.CachedPart)
+	// CrashEventsSince returns this box's reports of crashed upstreams from a sequence number on, as
+	// AnnouncementsSince does. RecordCrashEvents receives the reports of other boxes.
+	CrashEventsSince  func(from int64, limit int) ([]quarantine.CrashEvent, int64)
+	RecordCrashEvents func(list []quarantine.CrashEvent)
+	// OnPeerState receives the state summary of another box. It must not block.
+	OnPeerState func(a PeerState)
+	Random      *rand.Rand
 }
 
 // New returns the mesh member of one box.
 func New(d Dependencies) *Mesh {
 	return &Mesh{
-		self: d.Self, clock: d.Clock, period: d.PeriodMs, conn: d.Conn, contacts: d.Contacts, knowledge: d.Knowledge,
-		inFlight: d.InFlight, running: d.Running, ledger: occupancy.New(d.Clock.Steady),
-		cachedParts: d.KeptSince, learnCachedParts: d.LearnKept,
-		endings: d.EndingsSince, learnEndings: d.LearnEndings, onAnswer: d.Answered,
+		self: d.Self, clock: d.Clock, period: d.PeriodMs, conn: d.Conn, contacts: d.Contacts, stateSummary: d.StateSummary,
+		inFlight: d.InFlight, inFlightByPool: d.InFlightByPool, ledger: occupancy.New(d.Clock.Monotonic),
+		announcementsSince: d.AnnouncementsSince, recordAnnouncements: d.RecordAnnouncements,
+		crashEventsSince: d.CrashEventsSince, recordCrashEvents: d.RecordCrashEvents, onPeerState: d.OnPeerState,
 		random: d.Random, peers: map[string]*peer{},
-		pendingSlots: slotRequests{nextNumber: d.Random.Uint32(), pending: map[uint32]chan bool{}},
+		pendingPermits: permitRequests{nextNumber: d.Random.Uint32(), pending: map[uint32]chan bool{}},
 	}
 }
 
@@ -168,8 +168,8 @@
 		if err != nil {
 			return
 		}
-		if isSlotMessage(buffer[:n]) {
-			m.handleSlotMessage(buffer[:n], from)
+		if isPermitMessage(buffer[:n]) {
+			m.handlePermitMessage(buffer[:n], from)
 			continue
 		}
 		p, err := decode(buffer[:n])
@@ -189,19 +189,19 @@
 		return
 	}
 	m.recordPeer(p)
-	if len(p.CachedParts) > 0 {
-		m.learnCachedParts(p.CachedParts)
+	if len(p.Announcements) > 0 {
+		m.recordAnnouncements(p.Announcements)
 	}
-	if len(p.Endings) > 0 {
-		m.learnEndings(p.Endings)
+	if len(p.CrashEvents) > 0 {
+		m.recordCrashEvents(p.CrashEvents)
 	}
 	switch p.Type {
 	case typePing:
-		m.send(from.String(), m.forReceiver(m.packet(typeReply, p.AskedMs), p.From.Box))
+		m.send(from.String(), m.forReceiver(m.packet(typeReply, p.PingedMs), p.From.Box))
 	case typeReply:
-		m.onAnswer(Answer{From: p.From, Knowledge: p.Knowledge, AskedMs: p.AskedMs})
+		m.onPeerState(PeerState{From: p.From, StateSummary: p.StateSummary, PingedMs: p.PingedMs})
 	case typeUpdate:
-		m.onAnswer(Answer{From: p.From, Knowledge: p.Knowledge})
+		m.onPeerState(PeerState{From: p.From, StateSummary: p.StateSummary})
 	}
 }
 
@@ -227,7 +227,7 @@
 
 // round pings the store reader of the failure domain and a few other boxes.
 func (m *Mesh) round() {
-	now := m.clock.Steady()
+	now := m.clock.Monotonic()
 	p := m.packet(typePing, now)
 	for _, target := range m.targets(now) {
 		m.recordPing(target.box)
@@ -244,14 +244,14 @@
 	}
 }
 
-func (m *Mesh) packet(t packetType, askedMs clock.Millis) *packet {
-	p := &packet{Type: t, From: m.self, AskedMs: askedMs, Knowledge: m.knowledge(), InFlight: m.inFlight()}
+func (m *Mesh) packet(t packetType, pingedMs clock.Millis) *packet {
+	p := &packet{Type: t, From: m.self, PingedMs: pingedMs, StateSummary: m.stateSummary(), InFlight: m.inFlight()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p.Leaving = m.leaving
+	p.Draining = m.draining
 	if m.largeLocked() {
-		// Each box is heard from only once in minutes, so loads by upstream would be outdated.
-		p.InFlight, p.Running = nil, m.running()
+		// A message of each box arrives only once in minutes, so loads by upstream would be outdated.
+		p.InFlight, p.InFlightByPool = nil, m.inFlightByPool()
 	}
 	return p
 }
@@ -265,7 +265,7 @@
 	out := *p
 	receiver := m.peers[box]
 	switch {
-	case receiver == nil || m.clock.Steady()-receiver.firstSeenMs < newPeerMs:
+	case receiver == nil || m.clock.Monotonic()-receiver.firstSeenMs < newPeerMs:
 		out.Known = m.samplePeersLocked(newPeerSample)
 	case p.Type == typeReply:
 		if m.random.IntN(repliesPerSample) == 0 {
@@ -274,24 +274,24 @@
 		out.From = Identity{Box: m.self.Box, Incarnation: m.self.Incarnation}
 	}
 	if receiver != nil && !m.largeLocked() {
-		out.CachedParts, receiver.sentCachedParts = m.cachedParts(receiver.sentCachedParts, maxCachedParts)
+		out.Announcements, receiver.sentAnnouncements = m.announcementsSince(receiver.sentAnnouncements, maxAnnouncements)
 	}
 	if receiver != nil {
-		m.addEndingsLocked(&out, receiver)
+		m.addCrashEventsLocked(&out, receiver)
 	}
 	return &out
 }
 
-// addEndingsLocked adds reports of ended upstreams. They are sent again until the receiver
+// addCrashEventsLocked adds reports of crashed upstreams. They are sent again until the receiver
 // acknowledges them, so a lost datagram loses no report.
-func (m *Mesh) addEndingsLocked(p *packet, receiver *peer) {
-	limit := maxEndings
+func (m *Mesh) addCrashEventsLocked(p *packet, receiver *peer) {
+	limit := maxCrashEvents
 	if m.largeLocked() {
-		limit = maxEndingsLarge
+		limit = maxCrashEventsLarge
 	}
-	p.EndingsAcked = receiver.receivedEndings
-	if list, to := m.endings(receiver.ackedEndings, limit); len(list) > 0 {
-		p.Endings, p.EndingsNext = list, to
+	p.CrashEventsAcked = receiver.receivedCrashEvents
+	if list, to := m.crashEventsSince(receiver.ackedCrashEvents, limit); len(list) > 0 {
+		p.CrashEvents, p.CrashEventsNext = list, to
 	}
 }
 
@@ -322,28 +322,28 @@
 	return m.conn.WriteTo(data, net.UDPAddrFromAddrPort(target))
 }
 
-// Broadcast notifies the other boxes of the failure domain that this box's knowledge has changed.
+// Broadcast notifies the other boxes of the failure domain that this box's state has changed.
 func (m *Mesh) Broadcast() {
 	m.broadcast(func(p *peer) bool { return p.FailureDomain == m.self.FailureDomain })
 }
 
-// BroadcastEndings immediately sends new reports of ended upstreams to all boxes. In a large fleet
-// the reports spread with the rounds instead.
-func (m *Mesh) BroadcastEndings() {
+// BroadcastCrashEvents immediately sends new reports of crashed upstreams to all boxes. In a large
+// fleet the reports spread with the rounds instead.
+func (m *Mesh) BroadcastCrashEvents() {
 	m.broadcast(func(*peer) bool { return !m.largeLocked() })
 }
 
-// Leave notifies all boxes that this box is about to stop. The box continues to answer.
-func (m *Mesh) Leave() {
+// BroadcastDraining notifies all boxes that this box is about to stop. The box continues to answer.
+func (m *Mesh) BroadcastDraining() {
 	m.mu.Lock()
-	m.leaving = true
+	m.draining = true
 	m.mu.Unlock()
 	m.broadcast(func(*peer) bool { return true })
 }
 
 func (m *Mesh) broadcast(to func(p *peer) bool) {
 	p := m.packet(typeUpdate, 0)
-	now := m.clock.Steady()
+	now := m.clock.Monotonic()
 	m.mu.Lock()
 	aliveTimeout := m.aliveTimeoutLocked()
 	targets := []target{}
@@ -364,10 +364,10 @@
 	Ignored    int64 `json:"datagrams_ignored"`
 	SendErrors int64 `json:"datagrams_unsent"`
 	SentBytes  int64 `json:"datagram_bytes_sent"`
-	// Places are the slots that this box counts as an owner. SlotTimeouts counts this box's slot
+	// Permits are the permits that this box counts as an owner. PermitTimeouts counts this box's permit
 	// requests that no owner answered in time.
-	Places       occupancy.Sizes `json:"places"`
-	SlotTimeouts int64           `json:"places_unanswered"`
+	Permits        occupancy.Sizes `json:"places"`
+	PermitTimeouts int64           `json:"places_unanswered"`
 }
 
 // Sizes returns counts for metrics.
@@ -375,8 +375,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return Sizes{
-		Boxes: 1 + m.aliveCountLocked(m.clock.Steady()), Ignored: m.ignored,
+		Boxes: 1 + m.aliveCountLocked(m.clock.Monotonic()), Ignored: m.ignored,
 		SendErrors: m.sendErrors, SentBytes: m.sentBytes,
-		Places: m.ledger.Sizes(), SlotTimeouts: m.slotTimeouts,
+		Permits: m.ledger.Sizes(), PermitTimeouts: m.permitTimeouts,
 	}
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -22,28 +22,28 @@
 
 type box struct {
 	*Mesh
-	mu        sync.Mutex
-	knowledge Knowledge
-	inFlight  map[namekey.Key]int
-	answers   []Answer
-	kept      []prompt.Kept
-	received  []prompt.Kept
-	stop      context.CancelFunc
-	ledger    *quarantine.Ledger
+	mu            sync.Mutex
+	stateSummary  StateSummary
+	inFlight      map[namekey.Key]int
+	answers       []PeerState
+	announcements []prompt.CachedPart
+	received      []prompt.CachedPart
+	stop          context.CancelFunc
+	ledger        *quarantine.Ledger
 }
 
-// newLedger returns a ledger that quarantines a fingerprint after three endings.
+// newLedger returns a ledger that quarantines a fingerprint after three crashes.
 func newLedger() *quarantine.Ledger {
 	c := clock.New()
-	settings := quarantine.Settings{Ends: 3, HoldMs: 600 * clock.Second}
-	return quarantine.New(c.Steady, func() quarantine.Settings { return settings }, int64(c.Now()))
+	settings := quarantine.Settings{MinCrashes: 3, HoldMs: 600 * clock.Second}
+	return quarantine.New(c.Monotonic, func() quarantine.Settings { return settings }, int64(c.Now()))
 }
 
 // quarantining returns the number of boxes that quarantine a fingerprint.
 func (f *fixture) quarantining(fingerprint quarantine.Fingerprint) int {
 	count := 0
 	for _, b := range f.boxes {
-		if b.ledger.HeldMs(fingerprint) > 0 {
+		if b.ledger.QuarantineRemainingMs(fingerprint) > 0 {
 			count++
 		}
 	}
@@ -86,31 +86,31 @@
 	b.Mesh = New(Dependencies{
 		Self:     Identity{Box: name, FailureDomain: domain, Address: address, Incarnation: 1},
 		PeriodMs: 250, Clock: clock.New(), Conn: conn, Contacts: func() []string { return []string{"127.0.0.1:7000"} },
-		Knowledge: func() Knowledge {
+		StateSummary: func() StateSummary {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			return b.knowledge
+			return b.stateSummary
 		},
 		InFlight: func() map[namekey.Key]int {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			return maps.Clone(b.inFlight)
 		},
-		Running: b.runningByPool,
-		Answered: func(a Answer) {
+		InFlightByPool: b.ownInFlightByPool,
+		OnPeerState: func(a PeerState) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.answers = append(b.answers, a)
 		},
-		EndingsSince: b.ledger.Since,
-		LearnEndings: func(list []quarantine.Ending) { b.ledger.Learn(list, b.Large()) },
-		KeptSince: func(from int64, limit int) ([]prompt.Kept, int64) {
+		CrashEventsSince:  b.ledger.EventsSince,
+		RecordCrashEvents: func(list []quarantine.CrashEvent) { b.ledger.RecordEvents(list, b.IsLarge()) },
+		AnnouncementsSince: func(from int64, limit int) ([]prompt.CachedPart, int64) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			to := min(int64(len(b.kept)), from+int64(limit))
-			return b.kept[from:to], to
+			to := min(int64(len(b.announcements)), from+int64(limit))
+			return b.announcements[from:to], to
 		},
-		LearnKept: func(list []prompt.Kept) {
+		RecordAnnouncements: func(list []prompt.CachedPart) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.received = append(b.received, list...)
@@ -146,7 +146,7 @@
 func (f *fixture) storeReaders() []string {
 	names := []string{}
 	for _, b := range f.boxes {
-		if b.IsSource() {
+		if b.IsStoreReader() {
 			names = append(names, b.self.Box)
 		}
 	}
@@ -202,18 +202,18 @@
 			}
 			advance(f.t, 6*time.Second)
 			asked := map[string]bool{}
-			for _, target := range first.targets(first.clock.Steady()) {
+			for _, target := range first.targets(first.clock.Monotonic()) {
 				asked[first.peers[target.box].FailureDomain] = true
 			}
 			assert.Equal(t, map[string]bool{"d1": true, "d2": true}, asked)
-			assert.Equal(t, clock.Millis(250), first.AskEach()["d2"])
+			assert.Equal(t, clock.Millis(250), first.DomainPingIntervals()["d2"])
 			f.boxes[40].stop()
 			advance(f.t, 8*time.Second)
-			assert.Zero(t, first.AskEach()["d2"])
-			assert.Zero(t, first.AskEach()["d0"], "it has no other box")
+			assert.Zero(t, first.DomainPingIntervals()["d2"])
+			assert.Zero(t, first.DomainPingIntervals()["d0"], "it has no other box")
 		})
 	})
-	t.Run("a leaving box stops reading the store for others", func(t *testing.T) {
+	t.Run("a draining box stops reading the store for others", func(t *testing.T) {
 		runInBubble(t, func(f *fixture) {
 			t := f.t
 			for range 3 {
@@ -221,13 +221,13 @@
 			}
 			advance(f.t, 2*time.Second)
 			for _, b := range f.boxes {
-				if b.IsSource() {
-					b.Leave()
+				if b.IsStoreReader() {
+					b.BroadcastDraining()
 					break
 				}
 			}
 			advance(f.t, time.Second)
-			assert.Len(t, f.storeReaders(), readersPerDomain+1, "the leaving box still reads for itself")
+			assert.Len(t, f.storeReaders(), readersPerDomain+1, "the draining box still reads for itself")
 		})
 	})
 	t.Run("requests in flight of other boxes are known until those boxes time out", func(t *testing.T) {
@@ -237,25 +237,25 @@
 			two.setInFlight(loads{"u": 2})
 			three.setInFlight(loads{"u": 3, "v": 1})
 			advance(f.t, time.Second)
-			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.Others())
-			three.Leave()
+			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.OthersInFlight())
+			three.BroadcastDraining()
 			advance(f.t, time.Second)
-			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.Others(), "a leaving box finishes its requests")
+			assert.Equal(t, loads{"u": 5, "v": 1}.keyed(), one.OthersInFlight(), "a draining box finishes its requests")
 			three.stop()
 			advance(f.t, minAliveMs.Duration())
-			assert.Equal(t, loads{"u": 2}.keyed(), one.Others())
+			assert.Equal(t, loads{"u": 2}.keyed(), one.OthersInFlight())
 		})
 	})
 	t.Run("cached prompt parts are sent once to each other box", func(t *testing.T) {
 		runInBubble(t, func(f *fixture) {
 			t := f.t
 			one, two, three := f.start("d"), f.start("d"), f.start("e")
-			want := []prompt.Kept{}
-			for i := range 3 * maxCachedParts {
-				want = append(want, prompt.Kept{Part: namekey.Key(i), Upstream: 7})
+			want := []prompt.CachedPart{}
+			for i := range 3 * maxAnnouncements {
+				want = append(want, prompt.CachedPart{Part: namekey.Key(i), Upstream: 7})
 			}
 			one.mu.Lock()
-			one.kept = want
+			one.announcements = want
 			one.mu.Unlock()
 			advance(f.t, 4*time.Second)
 			for _, b := range []*box{two, three} {
@@ -271,23 +271,23 @@
 			t := f.t
 			one, two := f.start("d"), f.start("d")
 			two.mu.Lock()
-			two.knowledge = Knowledge{Version: 7, AgeMs: 40}
+			two.stateSummary = StateSummary{Version: 7, AgeMs: 40}
 			two.mu.Unlock()
-			before := one.clock.Steady()
+			before := one.clock.Monotonic()
 			advance(f.t, time.Second)
 			one.mu.Lock()
 			defer one.mu.Unlock()
 			require.NotEmpty(t, one.answers)
 			last := one.answers[len(one.answers)-1]
-			assert.Equal(t, Knowledge{Version: 7, AgeMs: 40}, last.Knowledge)
-			assert.GreaterOrEqual(t, last.AskedMs, before)
-			assert.LessOrEqual(t, last.AskedMs, one.clock.Steady())
+			assert.Equal(t, StateSummary{Version: 7, AgeMs: 40}, last.StateSummary)
+			assert.GreaterOrEqual(t, last.PingedMs, before)
+			assert.LessOrEqual(t, last.PingedMs, one.clock.Monotonic())
 		})
 	})
 	t.Run("a reply from an unknown box is ignored", func(t *testing.T) {
 		runInBubble(t, func(f *fixture) {
 			one := f.start("d")
-			one.handle(&packet{Type: typeReply, From: Identity{Box: "unknown"}, AskedMs: 1}, nil)
+			one.handle(&packet{Type: typeReply, From: Identity{Box: "unknown"}, PingedMs: 1}, nil)
 			assert.Equal(t, Sizes{Boxes: 1, Ignored: 1, SendErrors: one.Sizes().SendErrors, SentBytes: one.Sizes().SentBytes}, one.Sizes())
 		})
 	})
@@ -349,7 +349,7 @@
 		require.NoError(t, err)
 	})
 	t.Run("decodes what it encodes", func(t *testing.T) {
-		p := packet{Type: typeReply, From: whole, AskedMs: 7, Knowledge: Knowledge{Version: 3, AgeMs: -1}, InFlight: loads{"u": 2}.keyed()}
+		p := packet{Type: typeReply, From: whole, PingedMs: 7, StateSummary: StateSummary{Version: 3, AgeMs: -1}, InFlight: loads{"u": 2}.keyed()}
 		data, err := p.encode()
 		require.NoError(t, err)
 		back, err := decode(data)
--- a/internal/mesh/packet.go
+++ b/internal/mesh/packet.go
@@ -30,8 +30,8 @@
 	Incarnation int64 `cbor:"4,keyasint"`
 }
 
-// Knowledge is the state of a box at one instant.
-type Knowledge struct {
+// StateSummary is the state of a box at one instant.
+type StateSummary struct {
 	// Version is the version of the active routing state, or 0 if there is none.
 	Version int64 `cbor:"1,keyasint" json:"version"`
 	// Position is the position of the newest change to the upstreams.
@@ -39,8 +39,8 @@
 	// AgeMs is the time since Version was last confirmed as the newest, or negative if it never
 	// was.
 	AgeMs clock.Millis `cbor:"3,keyasint" json:"age_ms"`
-	// StoreLost is set while the box can't read its store.
-	StoreLost bool `cbor:"4,keyasint,omitempty" json:"store_lost"`
+	// StoreUnavailable is set while the box can't read its store.
+	StoreUnavailable bool `cbor:"4,keyasint,omitempty" json:"store_lost"`
 	// Era is the store era of the response that confirmed Version.
 	Era int64 `cbor:"5,keyasint,omitempty" json:"era"`
 }
@@ -52,9 +52,9 @@
 const (
 	// typePing requests a reply.
 	typePing packetType = 1
-	// typeReply answers a ping and echoes its AskedMs.
+	// typeReply answers a ping and echoes its PingedMs.
 	typeReply packetType = 2
-	// typeUpdate announces that the sender's knowledge has changed.
+	// typeUpdate announces that the sender's state has changed.
 	typeUpdate packetType = 3
 )
 
@@ -62,27 +62,27 @@
 type packet struct {
 	Type packetType `cbor:"1,keyasint"`
 	From Identity   `cbor:"2,keyasint"`
-	// AskedMs is the time of the ping on the sender's monotonic clock. The reply echoes it.
-	AskedMs   clock.Millis `cbor:"3,keyasint,omitempty"`
-	Knowledge Knowledge    `cbor:"4,keyasint"`
+	// PingedMs is the time of the ping on the sender's monotonic clock. The reply echoes it.
+	PingedMs     clock.Millis `cbor:"3,keyasint,omitempty"`
+	StateSummary StateSummary `cbor:"4,keyasint"`
 	// InFlight is the sender's requests in flight, by upstream.
 	InFlight map[namekey.Key]int `cbor:"5,keyasint,omitempty"`
-	// Leaving is set once the sender is about to stop.
-	Leaving bool `cbor:"6,keyasint,omitempty"`
+	// Draining is set once the sender is about to stop.
+	Draining bool `cbor:"6,keyasint,omitempty"`
 	// Known names a few other boxes.
 	Known []Identity `cbor:"7,keyasint,omitempty"`
-	// CachedParts are prompt parts that the sender's requests put into engine caches and that it
+	// Announcements are prompt parts that the sender's requests put into engine caches and that it
 	// has not sent to this receiver yet.
-	CachedParts []prompt.Kept `cbor:"8,keyasint,omitempty"`
-	// Endings are the sender's reports of ended upstreams that the receiver has not acknowledged.
-	// EndingsNext is the sequence number that follows them.
-	Endings     []quarantine.Ending `cbor:"9,keyasint,omitempty"`
-	EndingsNext int64               `cbor:"10,keyasint,omitempty"`
-	// EndingsAcked acknowledges the receiver's reports up to this sequence number.
-	EndingsAcked int64 `cbor:"11,keyasint,omitempty"`
-	// Running is the sender's requests in flight, by pool. A large fleet uses it instead of
+	Announcements []prompt.CachedPart `cbor:"8,keyasint,omitempty"`
+	// CrashEvents are the sender's reports of crashed upstreams that the receiver has not acknowledged.
+	// CrashEventsNext is the sequence number that follows them.
+	CrashEvents     []quarantine.CrashEvent `cbor:"9,keyasint,omitempty"`
+	CrashEventsNext int64                   `cbor:"10,keyasint,omitempty"`
+	// CrashEventsAcked acknowledges the receiver's reports up to this sequence number.
+	CrashEventsAcked int64 `cbor:"11,keyasint,omitempty"`
+	// InFlightByPool is the sender's requests in flight, by pool. A large fleet uses it instead of
 	// InFlight.
-	Running map[namekey.Key]int `cbor:"12,keyasint,omitempty"`
+	InFlightByPool map[namekey.Key]int `cbor:"12,keyasint,omitempty"`
 }
 
 // maxPacketBytes is the size of the receive buffer. Datagrams are kept small enough not to be
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -15,25 +15,25 @@
 	Identity
 	lastSeenMs clock.Millis
 	// firstSeenMs is when this incarnation sent its first message, or 0 if it has sent none.
-	firstSeenMs clock.Millis
-	knowledge   Knowledge
-	inFlight    map[namekey.Key]int
-	running     map[namekey.Key]int
-	leaving     bool
+	firstSeenMs    clock.Millis
+	stateSummary   StateSummary
+	inFlight       map[namekey.Key]int
+	inFlightByPool map[namekey.Key]int
+	draining       bool
 	// unacked is the number of pings sent since the box's last message.
 	unacked int
-	// sentCachedParts is the sequence number of the next cached prompt part to send to the box.
-	sentCachedParts int64
-	// receivedEndings is the sequence number up to which this box has received the peer's reports
-	// of ended upstreams. ackedEndings is the one up to which the peer has acknowledged this box's
-	// reports.
-	receivedEndings int64
-	ackedEndings    int64
+	// sentAnnouncements is the sequence number of the next cached prompt part to send to the box.
+	sentAnnouncements int64
+	// receivedCrashEvents is the sequence number up to which this box has received the peer's
+	// reports of crashed upstreams. ackedCrashEvents is the one up to which the peer has
+	// acknowledged this box's reports.
+	receivedCrashEvents int64
+	ackedCrashEvents    int64
 }
 
 // recordPeer stores the sender of a datagram and the boxes that it names.
 func (m *Mesh) recordPeer(p *packet) {
-	now := m.clock.Steady()
+	now := m.clock.Monotonic()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known := m.peers[p.From.Box]
@@ -41,15 +41,15 @@
 		return
 	}
 	updated := &peer{
-		Identity: p.From, lastSeenMs: now, firstSeenMs: now, knowledge: p.Knowledge, inFlight: p.InFlight,
-		running: p.Running, leaving: p.Leaving,
+		Identity: p.From, lastSeenMs: now, firstSeenMs: now, stateSummary: p.StateSummary, inFlight: p.InFlight,
+		inFlightByPool: p.InFlightByPool, draining: p.Draining,
 	}
 	if known != nil && known.Incarnation == p.From.Incarnation && known.firstSeenMs > 0 {
-		updated.firstSeenMs, updated.sentCachedParts = known.firstSeenMs, known.sentCachedParts
-		updated.receivedEndings, updated.ackedEndings = known.receivedEndings, known.ackedEndings
+		updated.firstSeenMs, updated.sentAnnouncements = known.firstSeenMs, known.sentAnnouncements
+		updated.receivedCrashEvents, updated.ackedCrashEvents = known.receivedCrashEvents, known.ackedCrashEvents
 	}
-	updated.receivedEndings = max(updated.receivedEndings, p.EndingsNext)
-	updated.ackedEndings = max(updated.ackedEndings, p.EndingsAcked)
+	updated.receivedCrashEvents = max(updated.receivedCrashEvents, p.CrashEventsNext)
+	updated.ackedCrashEvents = max(updated.ackedCrashEvents, p.CrashEventsAcked)
 	if known == nil || known.firstSeenMs == 0 {
 		m.directPeers++
 	}
@@ -117,11 +117,11 @@
 	return found
 }
 
-// AskEach returns the interval at which at least one box of a failure domain is pinged, by domain.
-// It omits domains without a live box. It is empty in a large fleet, whose rounds reach only a few
-// boxes.
-func (m *Mesh) AskEach() map[string]clock.Millis {
-	now := m.clock.Steady()
+// DomainPingIntervals returns the interval at which at least one box of a failure domain is pinged,
+// by domain. It omits domains without a live box. It is empty in a large fleet, whose rounds reach
+// only a few boxes.
+func (m *Mesh) DomainPingIntervals() map[string]clock.Millis {
+	now := m.clock.Monotonic()
 	intervals := map[string]clock.Millis{}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -204,9 +204,9 @@
 	return count
 }
 
-// alive reports whether the box is alive and not leaving.
+// alive reports whether the box is alive and not draining.
 func (p *peer) alive(now, aliveTimeout clock.Millis) bool {
-	return p.firstSeenMs > 0 && !p.leaving && now-p.lastSeenMs < aliveTimeout
+	return p.firstSeenMs > 0 && !p.draining && now-p.lastSeenMs < aliveTimeout
 }
 
 // samplePeersLocked returns a few live boxes. In a large fleet half of them are owners of
@@ -216,7 +216,7 @@
 	if m.largeLocked() {
 		known = m.sampleOwnersLocked((count + 1) / 2)
 	}
-	now, aliveTimeout := m.clock.Steady(), m.aliveTimeoutLocked()
+	now, aliveTimeout := m.clock.Monotonic(), m.aliveTimeoutLocked()
 	for _, p := range m.peers {
 		if len(known) == count {
 			break
@@ -228,9 +228,9 @@
 	return known
 }
 
-// Large reports whether the fleet is so large that each box exchanges messages with only a few
+// IsLarge reports whether the fleet is so large that each box exchanges messages with only a few
 // others.
-func (m *Mesh) Large() bool {
+func (m *Mesh) IsLarge() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.largeLocked()
@@ -239,15 +239,15 @@
 // largeLocked reports whether the fleet is so large that bandwidth is the limit.
 func (m *Mesh) largeLocked() bool { return m.directPeers > largeFleetBoxes }
 
-// Others returns the requests in flight of the other boxes, by upstream.
-func (m *Mesh) Others() map[namekey.Key]int {
-	now := m.clock.Steady()
+// OthersInFlight returns the requests in flight of the other boxes, by upstream.
+func (m *Mesh) OthersInFlight() map[namekey.Key]int {
+	now := m.clock.Monotonic()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sum := map[namekey.Key]int{}
 	aliveTimeout := m.aliveTimeoutLocked()
 	for _, p := range m.peers {
-		// A leaving box still runs its requests in flight.
+		// A draining box still runs its requests in flight.
 		if now-p.lastSeenMs >= aliveTimeout {
 			continue
 		}
@@ -265,38 +265,38 @@
 	shortWindowMs clock.Millis = 1500
 )
 
-// Running returns the estimated requests in flight of the whole fleet, by pool, or nil unless the
-// fleet is large. It extrapolates recent reports and takes the larger of two averages, because a
-// bound that lags behind a surge rejects requests for engines that have capacity.
-func (m *Mesh) Running() map[namekey.Key]int {
-	own := m.running()
+// FleetInFlightByPool returns the estimated requests in flight of the whole fleet, by pool, or nil
+// unless the fleet is large. It extrapolates recent reports and takes the larger of two averages,
+// because a bound that lags behind a surge rejects requests for engines that have capacity.
+func (m *Mesh) FleetInFlightByPool() map[namekey.Key]int {
+	own := m.inFlightByPool()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.largeLocked() {
 		return nil
 	}
-	all := m.runningLocked(own, longWindowMs)
-	for pool, count := range m.runningLocked(own, shortWindowMs) {
+	all := m.fleetInFlightByPoolLocked(own, longWindowMs)
+	for pool, count := range m.fleetInFlightByPoolLocked(own, shortWindowMs) {
 		all[pool] = max(all[pool], count)
 	}
 	return all
 }
 
-// runningLocked extrapolates from this box and those that reported within the window to all known
-// boxes.
-func (m *Mesh) runningLocked(own map[namekey.Key]int, window clock.Millis) map[namekey.Key]int {
+// fleetInFlightByPoolLocked extrapolates from this box and those that reported within the window to
+// all known boxes.
+func (m *Mesh) fleetInFlightByPoolLocked(own map[namekey.Key]int, window clock.Millis) map[namekey.Key]int {
 	sums := maps.Clone(own)
-	now := m.clock.Steady()
+	now := m.clock.Monotonic()
 	reporting, boxes := 1, 1
 	for _, p := range m.peers {
-		if !p.leaving {
+		if !p.draining {
 			boxes++
 		}
 		if p.firstSeenMs == 0 || now-p.lastSeenMs >= window {
 			continue
 		}
 		reporting++
-		for pool, count := range p.running {
+		for pool, count := range p.inFlightByPool {
 			sums[pool] += count
 		}
 	}
@@ -306,10 +306,10 @@
 	return sums
 }
 
-// OthersAgeMs returns the average age of the counts that Others returns. In a large fleet boxes
-// don't exchange loads by upstream, so it returns the maximum age.
-func (m *Mesh) OthersAgeMs() clock.Millis {
-	now := m.clock.Steady()
+// OthersInFlightAgeMs returns the average age of the counts that OthersInFlight returns. In a large
+// fleet boxes don't exchange loads by upstream, so it returns the maximum age.
+func (m *Mesh) OthersInFlightAgeMs() clock.Millis {
+	now := m.clock.Monotonic()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	aliveTimeout := m.aliveTimeoutLocked()
@@ -326,9 +326,9 @@
 	return sum / max(1, count)
 }
 
-// Resumed must be called after this process was paused. It extends the liveness deadlines of the
+// AddPause must be called after this process was paused. It extends the liveness deadlines of the
 // other boxes, because their silence during the pause says nothing about them.
-func (m *Mesh) Resumed(pause clock.Millis) {
+func (m *Mesh) AddPause(pause clock.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
@@ -336,14 +336,15 @@
 	}
 }
 
-// Missing reports whether a recently live box is silent without having announced that it leaves.
-func (m *Mesh) Missing() bool {
-	now := m.clock.Steady()
+// HasMissingBox reports whether a recently live box is silent without having announced that it is
+// draining.
+func (m *Mesh) HasMissingBox() bool {
+	now := m.clock.Monotonic()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	aliveTimeout := m.aliveTimeoutLocked()
 	for _, p := range m.peers {
-		if p.firstSeenMs > 0 && !p.leaving && now-p.lastSeenMs >= aliveTimeout {
+		if p.firstSeenMs > 0 && !p.draining && now-p.lastSeenMs >= aliveTimeout {
 			return true
 		}
 	}
@@ -354,15 +355,15 @@
 func (m *Mesh) Boxes() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return 1 + m.aliveCountLocked(m.clock.Steady())
+	return 1 + m.aliveCountLocked(m.clock.Monotonic())
 }
 
-// IsSource reports whether this box, according to its own view, reads the store on behalf of its
+// IsStoreReader reports whether this box, according to its own view, reads the store on behalf of its
 // failure domain.
-func (m *Mesh) IsSource() bool {
+func (m *Mesh) IsStoreReader() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, reader := range m.storeReadersLocked(m.clock.Steady()) {
+	for _, reader := range m.storeReadersLocked(m.clock.Monotonic()) {
 		if reader.Box == m.self.Box {
 			return true
 		}
@@ -383,7 +384,7 @@
 // live boxes.
 func (m *Mesh) storeReadersLocked(now clock.Millis) []Identity {
 	all, reachable := []Identity{m.self}, []Identity{}
-	if !m.knowledge().StoreLost {
+	if !m.stateSummary().StoreUnavailable {
 		reachable = append(reachable, m.self)
 	}
 	aliveTimeout := m.aliveTimeoutLocked()
@@ -392,7 +393,7 @@
 			continue
 		}
 		all = append(all, p.Identity)
-		if !p.knowledge.StoreLost {
+		if !p.stateSummary.StoreUnavailable {
 			reachable = append(reachable, p.Identity)
 		}
 	}
--- a/internal/occupancy/occupancy.go
+++ b/internal/occupancy/occupancy.go
@@ -15,8 +15,8 @@
 // the effect of a lost release message.
 const permitTTLMs = 20 * clock.Second
 
-// Holder identifies a permit: the box that requested it, and a number that the box assigned.
-type Holder struct {
+// PermitID identifies a permit: the box that requested it, and a number that the box assigned.
+type PermitID struct {
 	Box    string
 	Number uint32
 }
@@ -28,44 +28,44 @@
 
 // Ledger counts permits. It is safe for concurrent use.
 type Ledger struct {
-	steady func() clock.Millis
+	monotonic func() clock.Millis
 
 	mu      sync.Mutex
-	permits map[Holder]permit
+	permits map[PermitID]permit
 	counts  map[namekey.Key]int
 }
 
 // New returns an empty ledger.
-func New(steady func() clock.Millis) *Ledger {
-	return &Ledger{steady: steady, permits: map[Holder]permit{}, counts: map[namekey.Key]int{}}
+func New(monotonic func() clock.Millis) *Ledger {
+	return &Ledger{monotonic: monotonic, permits: map[PermitID]permit{}, counts: map[namekey.Key]int{}}
 }
 
-// Take grants a permit at an upstream unless the bound is reached, and reports whether it did.
-func (l *Ledger) Take(h Holder, upstream namekey.Key, bound int) bool {
+// Acquire grants a permit at an upstream unless the bound is reached, and reports whether it did.
+func (l *Ledger) Acquire(id PermitID, upstream namekey.Key, bound int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.remove(h)
+	l.remove(id)
 	if l.counts[upstream] >= bound {
 		return false
 	}
-	l.permits[h] = permit{upstream: upstream, atMs: l.steady()}
+	l.permits[id] = permit{upstream: upstream, atMs: l.monotonic()}
 	l.counts[upstream]++
 	return true
 }
 
 // Release returns a permit, if it is held.
-func (l *Ledger) Release(h Holder) {
+func (l *Ledger) Release(id PermitID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.remove(h)
+	l.remove(id)
 }
 
-func (l *Ledger) remove(h Holder) {
-	p, found := l.permits[h]
+func (l *Ledger) remove(id PermitID) {
+	p, found := l.permits[id]
 	if !found {
 		return
 	}
-	delete(l.permits, h)
+	delete(l.permits, id)
 	if l.counts[p.upstream]--; l.counts[p.upstream] == 0 {
 		delete(l.counts, p.upstream)
 	}
@@ -75,10 +75,10 @@
 func (l *Ledger) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	oldest := l.steady() - permitTTLMs
-	for h, p := range maps.Clone(l.permits) {
+	oldest := l.monotonic() - permitTTLMs
+	for id, p := range maps.Clone(l.permits) {
 		if p.atMs <= oldest {
-			l.remove(h)
+			l.remove(id)
 		}
 	}
 }
@@ -93,12 +93,12 @@
 // Sizes holds counts for metrics.
 type Sizes struct {
 	Upstreams int `json:"upstreams"`
-	Places    int `json:"places"`
+	Permits   int `json:"places"`
 }
 
 // Sizes returns counts for metrics.
 func (l *Ledger) Sizes() Sizes {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Sizes{Upstreams: len(l.counts), Places: len(l.permits)}
+	return Sizes{Upstreams: len(l.counts), Permits: len(l.permits)}
 }
--- a/internal/pipe/dispatch/attempt.go
+++ b/internal/pipe/dispatch/attempt.go
@@ -34,8 +34,8 @@
 // response.
 func (s *retryLoop) attempt(lease *balance.Lease) *failure {
 	s.attempts++
-	s.attemptStartedMs = s.pipe.deps.Clock.Steady()
-	s.signals = opaque.Word{}
+	s.attemptStartedMs = s.pipe.deps.Clock.Monotonic()
+	s.signals = opaque.Signals{}
 	s.request.Upstream = lease.ID
 	s.logPicked(lease)
 	ctx, cancel := context.WithCancelCause(s.ctx)
@@ -50,29 +50,29 @@
 	}
 	defer resp.Close()
 	s.request.Sent++
-	s.noteSignals(lease, resp)
-	if resp.StatusCode < http.StatusInternalServerError && s.signals.RestMs == 0 {
-		lease.Answered()
+	s.handleSignals(lease, resp)
+	if resp.StatusCode < http.StatusInternalServerError && s.signals.BackoffMs == 0 {
+		lease.RecordResponseStart()
 	}
 	failed := s.relay(lease, resp, cancel)
 	switch {
 	case failed != nil:
 		s.observeFailure(ctx, lease, failed.err)
 	default:
-		s.pipe.deps.Whole(s.request.Fingerprint)
+		s.pipe.deps.OnCompleted(s.request.Fingerprint)
 	}
 	lease.Release(s.healthResult(failed))
 	return failed
 }
 
-// noteSignals decodes and reports the signals in the response headers. It ignores those of a
+// handleSignals decodes and reports the signals in the response headers. It ignores those of a
 // misdirected request: they describe the upstream that now has the address, not the selected one.
-func (s *retryLoop) noteSignals(lease *balance.Lease, resp *upstream.Answer) {
+func (s *retryLoop) handleSignals(lease *balance.Lease, resp *upstream.Response) {
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
-	s.signals = s.request.Dialect.Word(resp.StatusCode, resp.Header)
-	s.pipe.deps.Hear(s.request.ID, lease, s.signals)
+	s.signals = s.request.Dialect.DecodeSignals(resp.StatusCode, resp.Header)
+	s.pipe.deps.OnSignals(s.request.ID, lease, s.signals)
 }
 
 // startFirstByteTimeout cancels an attempt without response headers while another upstream could
@@ -94,7 +94,7 @@
 func (s *retryLoop) cancelOnPathLoss(lease *balance.Lease, cancel context.CancelCauseFunc) {
 	r := s.request
 	if r.Route.Repeatable() && r.Sent+1 < r.Route.Attempts {
-		lease.OnCut(func() { cancel(errPathDown) })
+		lease.OnPartition(func() { cancel(errPathDown) })
 	}
 }
 
@@ -111,7 +111,7 @@
 		s.request.MayHaveRun = true
 	}
 	switch {
-	case s.ctx.Err() != nil || errors.Is(err, balance.ErrAtRest) || errors.Is(err, balance.ErrLeaving):
+	case s.ctx.Err() != nil || errors.Is(err, balance.ErrBackingOff) || errors.Is(err, balance.ErrDraining):
 		lease.Release(balance.Neutral)
 	case errors.Is(err, upstream.ErrUnreachable):
 		lease.Release(balance.Unreachable)
@@ -128,7 +128,7 @@
 	switch {
 	case failed == nil:
 		return balance.Succeeded
-	case s.signals.RestMs > 0:
+	case s.signals.BackoffMs > 0:
 		return balance.Neutral
 	case failed.execution == wrongUpstream:
 		return balance.Unreachable
@@ -140,14 +140,14 @@
 // logPicked logs the selected upstream and counts the prompt tokens that it has to process.
 func (s *retryLoop) logPicked(lease *balance.Lease) {
 	r := s.request
-	if lease.Reading.Tokens > 0 {
-		s.pipe.deps.Reads(string(lease.Reading.Why), lease.Reading.Tokens)
+	if lease.Prefill.Tokens > 0 {
+		s.pipe.deps.OnPrefill(string(lease.Prefill.Reason), lease.Prefill.Tokens)
 	}
-	s.pipe.deps.Tell(decision.Picked{
-		Request: r.ID, Route: r.Route.Name, Pool: r.Pool, Version: r.State.Version(), AgeMs: s.pipe.deps.AgeMs(),
+	s.pipe.deps.RecordEvent(decision.UpstreamPicked{
+		Request: r.ID, Route: r.Route.Name, Pool: r.Pool, Version: r.State.Version(), AgeMs: s.pipe.deps.StateAgeMs(),
 		Upstream: lease.ID, Attempt: s.attempts, Rank: lease.Rank, Load: lease.Load,
-		MeanPercent: lease.MeanPercent, PassedOver: lease.Passed.Upstream, PassedWhy: string(lease.Passed.Why),
-		FetchFrom: lease.FetchFrom, ReadTokens: lease.Reading.Tokens, ReadWhy: string(lease.Reading.Why),
+		MeanPercent: lease.MeanPercent, SkippedUpstream: lease.Skipped.Upstream, SkipReason: string(lease.Skipped.Reason),
+		FetchFrom: lease.FetchFrom, PrefillTokens: lease.Prefill.Tokens, PrefillReason: string(lease.Prefill.Reason),
 		ResumeAfter: s.stream.lastEventID(),
 	})
 }
@@ -155,13 +155,13 @@
 // buildRequest returns the request to the upstream.
 func (s *retryLoop) buildRequest(lease *balance.Lease) *upstream.Request {
 	r, d := s.request, s.request.Dialect
-	header := d.Forwarded(r.HTTP.Header)
+	header := d.RequestHeader(r.HTTP.Header)
 	set := func(name, value string) {
 		if name != "" && value != "" {
 			header.Set(name, value)
 		}
 	}
-	remaining := max(1, r.RemainingMs(s.pipe.deps.Clock.Steady()))
+	remaining := max(1, r.RemainingMs(s.pipe.deps.Clock.Monotonic()))
 	set(d.DeadlineMs, strconv.FormatInt(int64(remaining), 10))
 	set(d.ExpectUpstream, lease.ID)
 	set(d.FetchFrom, lease.FetchFrom)
@@ -174,8 +174,8 @@
 	}
 	return &upstream.Request{
 		Method: r.HTTP.Method, Target: r.HTTP.RequestURI, Host: r.HTTP.Host, Header: header, Body: r.Body,
-		MaySend: lease.MaySend,
-		Mine:    func(resp http.Header) bool { return resp.Get(d.RequestID) == r.ID },
+		BeforeSend: lease.CheckBeforeSend,
+		Matches:    func(resp http.Header) bool { return resp.Get(d.RequestID) == r.ID },
 	}
 }
 
@@ -183,7 +183,7 @@
 const maxUrgency = 9
 
 // relay relays a response whose headers have arrived.
-func (s *retryLoop) relay(lease *balance.Lease, resp *upstream.Answer, cancel context.CancelCauseFunc) *failure {
+func (s *retryLoop) relay(lease *balance.Lease, resp *upstream.Response, cancel context.CancelCauseFunc) *failure {
 	if resp.StatusCode == http.StatusOK && isEventStream(resp.Header) {
 		return s.relayStream(lease, resp, cancel)
 	}
--- a/internal/pipe/dispatch/dispatch.go
+++ b/internal/pipe/dispatch/dispatch.go
@@ -18,30 +18,33 @@
 // Dependencies are the parts of the box that the step uses.
 type Dependencies struct {
 	// Pick selects an upstream and counts the request in its load.
-	Pick func(ctx context.Context, a balance.Ask) (*balance.Lease, error)
+	Pick func(ctx context.Context, a balance.PickRequest) (*balance.Lease, error)
 	// MayRetry takes one retry from the retry budget of a pool and reports whether there was one.
 	MayRetry func(pool string) bool
-	// FirstSend counts the first attempt of a request in the retry budget of a pool.
-	FirstSend func(pool string)
-	// AgeMs returns the time since the routing state was last confirmed to be the newest, for logs.
-	AgeMs func() clock.Millis
-	// Tell logs an event.
-	Tell func(e decision.Event)
-	// Reads counts the tokens of shared prompt parts that an engine likely has to process, by reason.
-	Reads func(why string, tokens int)
-	// ComeBack returns the Retry-After of a refused request.
-	ComeBack func(pool string, priority int) clock.Millis
-	// Hear handles the backoff, shutdown and load signals in the headers of an upstream's response.
-	Hear func(request string, lease *balance.Lease, said opaque.Word)
+	// OnFirstSend counts the first attempt of a request in the retry budget of a pool.
+	OnFirstSend func(pool string)
+	// StateAgeMs returns the time since the routing state was last confirmed to be the newest, for
+	// logs.
+	StateAgeMs func() clock.Millis
+	// RecordEvent logs an event.
+	RecordEvent func(e decision.Event)
+	// OnPrefill counts the tokens of shared prompt parts that an engine likely has to process, by
+	// reason.
+	OnPrefill func(reason string, tokens int)
+	// RetryAfter returns the Retry-After of a refused request.
+	RetryAfter func(pool string, priority int) clock.Millis
+	// OnSignals handles the backoff, draining and load signals in the headers of an upstream's
+	// response.
+	OnSignals func(request string, lease *balance.Lease, signals opaque.Signals)
 	// Observe handles evidence that an upstream may have crashed.
 	Observe func(o Observation)
-	// Whole records that a request with this fingerprint got a complete response.
-	Whole func(fingerprint quarantine.Fingerprint)
-	// HeldMs returns the remaining quarantine time of a fingerprint, or 0.
-	HeldMs func(fingerprint quarantine.Fingerprint) clock.Millis
-	// Vouch returns an error if the box may not send the request now.
-	Vouch func(r *opaque.Request) error
-	Clock clock.Clock
+	// OnCompleted records that a request with this fingerprint got a complete response.
+	OnCompleted func(fingerprint quarantine.Fingerprint)
+	// QuarantineRemainingMs returns the remaining quarantine time of a fingerprint, or 0.
+	QuarantineRemainingMs func(fingerprint quarantine.Fingerprint) clock.Millis
+	// CheckBeforeSend returns an error if the box may not send the request now.
+	CheckBeforeSend func(r *opaque.Request) error
+	Clock           clock.Clock
 }
 
 // Pipe sends opaque requests to upstreams.
@@ -57,12 +60,12 @@
 
 // Run makes attempts until the caller has a response or no further attempt is allowed.
 func (p *Pipe) Run(r *opaque.Request) error {
-	ctx, cancel := p.deps.Clock.WithTimeout(r.Context(), max(1, r.RemainingMs(p.deps.Clock.Steady())))
+	ctx, cancel := p.deps.Clock.WithTimeout(r.Context(), max(1, r.RemainingMs(p.deps.Clock.Monotonic())))
 	defer cancel()
-	p.deps.FirstSend(r.Pool)
+	p.deps.OnFirstSend(r.Pool)
 	s := &retryLoop{pipe: p, request: r, ctx: ctx}
 	for {
-		if err := p.deps.Vouch(r); err != nil {
+		if err := p.deps.CheckBeforeSend(r); err != nil {
 			return s.refuseSend(err)
 		}
 		lease, err := p.deps.Pick(ctx, s.pickRequest())
@@ -101,8 +104,8 @@
 	lastFailure *failure
 	// attemptStartedMs is the start time of the latest attempt.
 	attemptStartedMs clock.Millis
-	// signals are the backoff, shutdown and load signals of the latest response.
-	signals opaque.Word
+	// signals are the backoff, draining and load signals of the latest response.
+	signals opaque.Signals
 }
 
 // lastFailureOr returns the latest failure, or f if there is none.
@@ -114,10 +117,10 @@
 }
 
 // pickRequest returns the request properties that the balancer selects an upstream by.
-func (s *retryLoop) pickRequest() balance.Ask {
+func (s *retryLoop) pickRequest() balance.PickRequest {
 	r := s.request
 	pool := r.State.Pool(r.Pool)
-	return balance.Ask{
+	return balance.PickRequest{
 		Pool: r.Pool, Sticky: r.Route.Sticky, Prompt: r.Prompt, Tried: r.Tried,
 		Transfers: pool != nil && pool.Engine != nil && pool.Engine.Transfers && r.Dialect.FetchFrom != "",
 	}
@@ -128,11 +131,12 @@
 	s.lastFailure = failed
 	s.request.Tried = append(s.request.Tried, lease.ID)
 	verdict := s.retryDecision(failed)
-	s.pipe.deps.Tell(decision.AttemptFailed{
+	s.pipe.deps.RecordEvent(decision.AttemptFailed{
 		Request: s.request.ID, Fingerprint: s.request.Fingerprint.String(), Upstream: lease.ID,
 		Attempt: s.attempts, Proof: string(failed.execution),
 		Status: failed.status(), Err: errorText(failed.err), Next: string(verdict),
-		AskedRestMs: s.signals.RestMs, Leaving: s.signals.Leaving, TookMs: s.pipe.deps.Clock.Steady() - s.attemptStartedMs,
+		BackoffMs: s.signals.BackoffMs, Draining: s.signals.Draining,
+		TookMs: s.pipe.deps.Clock.Monotonic() - s.attemptStartedMs,
 	})
 	return verdict == retryAllowed
 }
@@ -149,14 +153,14 @@
 	r := s.request
 	switch {
 	case r.Context().Err() != nil:
-		return stopCallerGone
-	case s.ctx.Err() != nil || r.RemainingMs(s.pipe.deps.Clock.Steady()) <= 0:
+		return stopCallerDisconnected
+	case s.ctx.Err() != nil || r.RemainingMs(s.pipe.deps.Clock.Monotonic()) <= 0:
 		return stopDeadline
 	case s.stream != nil && !s.stream.resumable():
 		return stopResponseStarted
 	case !failed.execution.allowsRetry(r.Route.Repeatable()):
 		return stopMayHaveRun
-	case s.pipe.deps.HeldMs(r.Fingerprint) > 0:
+	case s.pipe.deps.QuarantineRemainingMs(r.Fingerprint) > 0:
 		return stopQuarantined
 	case s.attempts >= maxConnectAttempts:
 		return stopMaxAttempts
@@ -183,17 +187,17 @@
 	r := s.request
 	switch {
 	case r.Context().Err() != nil:
-		return opaque.NewRefusal(opaque.StatusCallerGone, opaque.CallerGone, 0, failed.err)
+		return opaque.NewRefusal(opaque.StatusCallerDisconnected, opaque.CallerDisconnected, 0, failed.err)
 	case s.stream != nil:
 		return s.stream.abort(failed.err)
 	case failed.response != nil && failed.response.mayRelay(r):
 		return failed.response.relay(r, s.retryAfterMs)
 	case r.MayHaveRun && s.ctx.Err() != nil:
-		return opaque.NewRefusal(http.StatusGatewayTimeout, opaque.DeadlineSpent, 0, failed.err)
+		return opaque.NewRefusal(http.StatusGatewayTimeout, opaque.DeadlineExceeded, 0, failed.err)
 	case r.MayHaveRun:
-		return opaque.NewRefusal(http.StatusBadGateway, opaque.UpstreamLost, 0, failed.err)
-	case allAskedForBackoff(failed.err):
-		return opaque.NewRefusal(opaque.NotRunStatus, opaque.AtRest, s.retryAfterMs(), failed.err)
+		return opaque.NewRefusal(http.StatusBadGateway, opaque.ResponseLost, 0, failed.err)
+	case allBackingOff(failed.err):
+		return opaque.NewRefusal(opaque.NotRunStatus, opaque.UpstreamsBackingOff, s.retryAfterMs(), failed.err)
 	case errors.Is(failed.err, balance.ErrNoUpstream) || failed.execution == notSent:
 		return opaque.NewRefusal(opaque.NotRunStatus, opaque.NoUpstream, s.retryAfterMs(), failed.err)
 	default:
@@ -201,15 +205,15 @@
 	}
 }
 
-// allAskedForBackoff reports whether the only upstreams that could take the request have asked this
+// allBackingOff reports whether the only upstreams that could take the request have asked this
 // box to back off. The request is then refused at once instead of waiting for the first backoff to
 // end: backoffs last seconds, longer than the latency objective of most requests.
-func allAskedForBackoff(err error) bool {
-	var rest *balance.AllRestError
-	return errors.As(err, &rest)
+func allBackingOff(err error) bool {
+	var backoff *balance.AllBackingOffError
+	return errors.As(err, &backoff)
 }
 
 // retryAfterMs returns the Retry-After of a refusal.
 func (s *retryLoop) retryAfterMs() clock.Millis {
-	return s.pipe.deps.ComeBack(s.request.Pool, s.request.Priority())
+	return s.pipe.deps.RetryAfter(s.request.Pool, s.request.Priority())
 }
--- a/internal/pipe/dispatch/stream.go
+++ b/internal/pipe/dispatch/stream.go
@@ -58,18 +58,18 @@
 }
 
 // relayStream relays events as they arrive.
-func (s *retryLoop) relayStream(lease *balance.Lease, resp *upstream.Answer, cancel context.CancelCauseFunc) *failure {
+func (s *retryLoop) relayStream(lease *balance.Lease, res *upstream.Response, cancel context.CancelCauseFunc) *failure {
 	if s.stream == nil {
-		s.startStream(resp)
+		s.startStream(res)
 	}
 	event, stop := s.startIdleTimeout(cancel)
 	defer stop()
 	buffer := make([]byte, streamBufferBytes)
 	for {
-		n, err := resp.Read(buffer)
+		n, err := res.Read(buffer)
 		event()
 		if n > 0 {
-			lease.Heard()
+			lease.RecordContact()
 		}
 		if writeErr := s.stream.write(buffer[:n]); writeErr != nil {
 			return &failure{err: writeErr, execution: mayHaveRun}
@@ -87,16 +87,17 @@
 
 // startStream sends the response headers to the caller. They come from the first upstream and stay
 // the same after a resume.
-func (s *retryLoop) startStream(resp *upstream.Answer) {
+func (s *retryLoop) startStream(resp *upstream.Response) {
 	r := s.request
 	s.stream = &stream{request: r, completeOnly: r.Route.Resumable}
-	setResponseHeader(r.Writer.Header(), r.Dialect.Returned(resp.Header))
+	setResponseHeader(r.Writer.Header(), r.Dialect.ResponseHeader(resp.Header))
 	r.Writer.WriteHeader(http.StatusOK)
 	// If the caller has disconnected, writing the first event fails.
 	_ = r.Writer.FlushNow()
 }
 
-// finishStream ends a stream that the upstream ended. The attempt fails if the last event is incomplete.
+// finishStream ends a stream that the upstream ended. The attempt fails if the last event is
+// incomplete.
 func (s *retryLoop) finishStream() *failure {
 	if len(s.stream.partial) > 0 {
 		s.stream.partial = nil
@@ -115,10 +116,10 @@
 	}
 	t.dataSent = true
 	if _, err := t.request.Writer.Write(part); err != nil {
-		return fmt.Errorf("%w: %w", errCallerGone, err)
+		return fmt.Errorf("%w: %w", errCallerDisconnected, err)
 	}
 	if err := t.request.Writer.FlushNow(); err != nil {
-		return fmt.Errorf("%w: %w", errCallerGone, err)
+		return fmt.Errorf("%w: %w", errCallerDisconnected, err)
 	}
 	return nil
 }
@@ -155,5 +156,5 @@
 // abort returns an error that closes the caller's connection, so that an incomplete response does
 // not appear complete.
 func (t *stream) abort(err error) error {
-	return opaque.NewRefusal(http.StatusOK, opaque.UpstreamLost, 0, fmt.Errorf("%w: %w", opaque.ErrCut, err))
+	return opaque.NewRefusal(http.StatusOK, opaque.ResponseLost, 0, fmt.Errorf("%w: %w", opaque.ErrTruncated, err))
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -29,8 +29,8 @@
 type Fleet struct {
 	// Boxes lists the live boxes of this failure domain, including this one.
 	Boxes []string
-	// Leaving holds the names of upstreams that are about to shut down.
-	Leaving map[string]bool
+	// Draining holds the names of upstreams that are about to shut down.
+	Draining map[string]bool
 }
 
 // Result is the outcome of an attempt on an upstream with regard to the upstream's health.
@@ -54,10 +54,10 @@
 	used     int
 	reported int
 	places   []place
-	// leaving and models are the upstream's last report about itself. models is nil before the first
+	// draining and models are the upstream's last report about itself. models is nil before the first
 	// report.
-	leaving bool
-	models  []string
+	draining bool
+	models   []string
 }
 
 // place is a position in the view of a pool.
@@ -66,11 +66,11 @@
 	position int
 }
 
-// closed reports whether the upstream accepts no new work of the pool, because it is leaving or
+// closed reports whether the upstream accepts no new work of the pool, because it is draining or
 // draining or no longer has the pool's model loaded.
 func (p place) closed() bool {
 	u := p.pool.members[p.position]
-	if u.leaving || u.row.Draining {
+	if u.draining || u.row.Draining {
 		return true
 	}
 	_, target, _ := strings.Cut(p.pool.name, "/")
@@ -235,7 +235,7 @@
 		Reported:    u.reported,
 		Slots:       u.row.Slots,
 		Ejected:     u.health.Ejected(now),
-		Leaving:     u.row.Draining || m.fleet.Leaving[u.row.Name],
+		Draining:    u.row.Draining || m.fleet.Draining[u.row.Name],
 	}
 }
 
@@ -318,15 +318,15 @@
 	}
 }
 
-// ReportState records whether an engine is leaving and which models it has loaded.
-func (m *Manager) ReportState(name string, leaving bool, models []string) {
+// ReportState records whether an engine is draining and which models it has loaded.
+func (m *Manager) ReportState(name string, draining bool, models []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	u := m.upstreams[name]
 	if u == nil {
 		return
 	}
-	u.leaving = leaving
+	u.draining = draining
 	u.models = append([]string{}, models...)
 }
 
@@ -338,7 +338,7 @@
 	Reported int    `json:"reported"`
 	Weight   int    `json:"weight"`
 	Ejected  bool   `json:"ejected"`
-	Leaving  bool   `json:"leaving"`
+	Draining bool   `json:"leaving"`
 }
 
 // Loads returns the state of all upstreams, sorted by name.
@@ -351,7 +351,7 @@
 		member := m.member(u, u.used)
 		loads = append(loads, Load{
 			Name: u.row.Name, Address: u.row.Address, InFlight: u.used, Reported: u.reported,
-			Weight: member.Weight, Ejected: u.health.Ejected(now), Leaving: member.Leaving,
+			Weight: member.Weight, Ejected: u.health.Ejected(now), Draining: member.Draining,
 		})
 	}
 	slices.SortFunc(loads, func(a, b Load) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -12,23 +12,23 @@
 
 // Settings configure when a fingerprint is quarantined. They may change at run time.
 type Settings struct {
-	// Ends is the number of terminated upstreams from which a fingerprint is quarantined. Values
+	// MinCrashes is the number of crashed upstreams from which a fingerprint is quarantined. Values
 	// below 1 disable the quarantine.
-	Ends int
-	// HoldMs is how long a fingerprint stays quarantined after the latest termination.
+	MinCrashes int
+	// HoldMs is how long a fingerprint stays quarantined after the latest crash.
 	HoldMs clock.Millis
 }
 
-// retentionMs is how long the terminations of a fingerprint are kept after the latest one. It is
-// longer than the quarantine, so that a single further termination starts the next quarantine.
+// retentionMs is how long the crashes of a fingerprint are kept after the latest one. It is
+// longer than the quarantine, so that a single further crash starts the next quarantine.
 func (s Settings) retentionMs() clock.Millis { return retentionHolds * s.HoldMs }
 
-// Ending is an event that boxes exchange: an upstream terminated while it ran a request with this
+// CrashEvent is an event that boxes exchange: an upstream crashed while it ran a request with this
 // fingerprint, or an upstream answered such a request completely.
-type Ending struct {
+type CrashEvent struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint Fingerprint
-	// Upstream is the incarnation that terminated.
+	// Upstream is the incarnation that crashed.
 	Upstream namekey.Key
 	// Answered is set if an upstream answered the request completely.
 	Answered bool
@@ -38,51 +38,51 @@
 
 // Limits of a ledger.
 const (
-	// maxFingerprints limits the number of fingerprints, which take about 0.2 KB each. A terminated
-	// upstream adds one fingerprint for each request that it ran; a series of 45 terminations among
+	// maxFingerprints limits the number of fingerprints, which take about 0.2 KB each. A crashed
+	// upstream adds one fingerprint for each request that it ran; a series of 45 crashes among
 	// 112 engines added 540.
 	maxFingerprints = 4096
-	// retentionHolds is how long terminations are kept, as a multiple of the hold time.
+	// retentionHolds is how long crashes are kept, as a multiple of the hold time.
 	retentionHolds = 2
-	// answeredGraceMs is how long terminations are not attributed to a fingerprint after it was
-	// answered. A request that terminates upstreams is never answered. Callers that repeat the same
-	// request often, such as a status poll, have one running whenever an upstream terminates.
+	// answeredGraceMs is how long crashes are not attributed to a fingerprint after it was
+	// answered. A request that crashes upstreams is never answered. Callers that repeat the same
+	// request often, such as a status poll, have one running whenever an upstream crashes.
 	answeredGraceMs = 60 * clock.Second
 )
 
-// Ledger records the upstreams that terminated, by the fingerprints of the requests that they ran.
-// An answer clears the terminations of its fingerprint that precede it. A Ledger is safe for
+// Ledger records the upstreams that crashed, by the fingerprints of the requests that they ran.
+// An answer clears the crashes of its fingerprint that precede it. A Ledger is safe for
 // concurrent use.
 //
-// Without the ledger, a request that terminates every upstream that starts to run it and is retried
+// Without the ledger, a request that crashes every upstream that starts to run it and is retried
 // again and again is forwarded on each retry (20 of 20). With it, 3 of 40 retries are forwarded when
-// they go to three boxes in turn (TestFatalRequest). Each termination also breaks all other requests
+// they go to three boxes in turn (TestFatalRequest). Each crash also breaks all other requests
 // on that upstream, up to eleven streams in the logs of six boxes.
 type Ledger struct {
-	steady   func() clock.Millis
-	settings func() Settings
+	monotonic func() clock.Millis
+	settings  func() Settings
 
 	mu           sync.Mutex
-	fingerprints map[Fingerprint]terminations
+	fingerprints map[Fingerprint]crashes
 	answered     recent
 	events       eventLog
 }
 
-// record describes the termination of one upstream while it ran a request with a fingerprint.
+// record describes the crash of one upstream while it ran a request with a fingerprint.
 type record struct {
 	atMs clock.Millis
-	// published is set once the termination is in this box's event log.
+	// published is set once the crash is in this box's event log.
 	published bool
 }
 
-// terminations holds the terminations of one fingerprint by upstream incarnation.
-type terminations map[namekey.Key]record
+// crashes holds the crashes of one fingerprint by upstream incarnation.
+type crashes map[namekey.Key]record
 
 // New returns an empty ledger. firstSeq is the sequence number of its first event. It must be
 // greater than those that earlier processes of the box assigned.
-func New(steady func() clock.Millis, settings func() Settings, firstSeq int64) *Ledger {
+func New(monotonic func() clock.Millis, settings func() Settings, firstSeq int64) *Ledger {
 	return &Ledger{
-		steady: steady, settings: settings, fingerprints: map[Fingerprint]terminations{}, answered: newRecent(),
+		monotonic: monotonic, settings: settings, fingerprints: map[Fingerprint]crashes{}, answered: newRecent(),
 		events: eventLog{nextSeq: firstSeq},
 	}
 }
@@ -90,17 +90,17 @@
 // Settings returns the current settings.
 func (l *Ledger) Settings() Settings { return l.settings() }
 
-// Ended records that an upstream terminated while it ran a request with the fingerprint. It reports
+// RecordCrash records that an upstream crashed while it ran a request with the fingerprint. It reports
 // whether this starts a quarantine of the fingerprint.
-func (l *Ledger) Ended(fingerprint Fingerprint, upstream namekey.Key) (held bool) {
+func (l *Ledger) RecordCrash(fingerprint Fingerprint, upstream namekey.Key) (quarantined bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.record(fingerprint, upstream, l.steady(), true)
+	return l.record(fingerprint, upstream, l.monotonic(), true)
 }
 
-// record records a termination. If publish is set, the termination is added to this box's
-// event log at once.
-func (l *Ledger) record(fingerprint Fingerprint, upstream namekey.Key, at clock.Millis, publish bool) (held bool) {
+// record records a crash, and reports whether this starts a quarantine. If publish is set, the crash is
+// added to this box's event log at once.
+func (l *Ledger) record(fingerprint Fingerprint, upstream namekey.Key, at clock.Millis, publish bool) (started bool) {
 	if l.answered.seenAfter(fingerprint, at-answeredGraceMs) {
 		return false
 	}
@@ -110,48 +110,48 @@
 	}
 	if known == nil {
 		l.evict()
-		known = terminations{}
+		known = crashes{}
 		l.fingerprints[fingerprint] = known
 	}
-	before := l.remainingHoldMs(known)
+	before := l.remainingMs(known)
 	known[upstream] = record{atMs: at}
-	if publish || len(known) >= minRelayTerminations {
+	if publish || len(known) >= minRelayedCrashes {
 		l.publish(fingerprint, known)
 	}
-	return before == 0 && l.remainingHoldMs(known) > 0
+	return before == 0 && l.remainingMs(known) > 0
 }
 
-// minRelayTerminations is the number of terminations of a fingerprint from which a box relays those
-// that it learned from other boxes. Below it, only the boxes that observed a termination publish it:
-// relaying every termination cost each of 64 boxes 1,735 bytes per termination instead of 84
-// (TestEndingBytes).
-const minRelayTerminations = 2
+// minRelayedCrashes is the number of crashes of a fingerprint from which a box relays those
+// that it learned from other boxes. Below it, only the boxes that observed a crash publish it:
+// relaying every crash cost each of 64 boxes 1,735 bytes per crash instead of 84
+// (TestCrashEventBytes).
+const minRelayedCrashes = 2
 
-// publish adds the terminations that are not yet published to this box's event log.
-func (l *Ledger) publish(fingerprint Fingerprint, known terminations) {
+// publish adds the crashes that are not yet published to this box's event log.
+func (l *Ledger) publish(fingerprint Fingerprint, known crashes) {
 	for _, upstream := range slices.Sorted(maps.Keys(known)) {
 		r := known[upstream]
 		if r.published {
 			continue
 		}
-		l.events.add(Ending{Fingerprint: fingerprint, Upstream: upstream}, r.atMs)
+		l.events.add(CrashEvent{Fingerprint: fingerprint, Upstream: upstream}, r.atMs)
 		known[upstream] = record{atMs: r.atMs, published: true}
 	}
 }
 
-// Answered records that an upstream answered a request with the fingerprint completely. It reports
+// RecordAnswer records that an upstream answered a request with the fingerprint completely. It reports
 // whether this ends a quarantine of the fingerprint.
-func (l *Ledger) Answered(fingerprint Fingerprint) (released bool) {
+func (l *Ledger) RecordAnswer(fingerprint Fingerprint) (released bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.clearAnswered(fingerprint, l.steady())
+	return l.clearAnswered(fingerprint, l.monotonic())
 }
 
-// clearAnswered removes the terminations up to the time of an answer.
+// clearAnswered removes the crashes up to the time of an answer.
 func (l *Ledger) clearAnswered(fingerprint Fingerprint, at clock.Millis) (released bool) {
 	l.answered.mark(fingerprint, at)
 	known := l.fingerprints[fingerprint]
-	before := l.remainingHoldMs(known)
+	before := l.remainingMs(known)
 	count := len(known)
 	maps.DeleteFunc(known, func(_ namekey.Key, r record) bool { return r.atMs <= at })
 	if len(known) == count {
@@ -160,17 +160,17 @@
 	if len(known) == 0 {
 		delete(l.fingerprints, fingerprint)
 	}
-	l.events.add(Ending{Fingerprint: fingerprint, Answered: true}, at)
-	return before > 0 && l.remainingHoldMs(known) == 0
+	l.events.add(CrashEvent{Fingerprint: fingerprint, Answered: true}, at)
+	return before > 0 && l.remainingMs(known) == 0
 }
 
-// Learn merges events received from another box. If passOn is set, they are relayed in any case, as
-// needed in a fleet that is too large for each box to reach all others. It returns the fingerprints
-// whose quarantine this starts.
-func (l *Ledger) Learn(list []Ending, passOn bool) (held []Fingerprint) {
+// RecordEvents merges events received from another box. If passOn is set, they are relayed in any
+// case, as needed in a fleet that is too large for each box to reach all others. It returns the
+// fingerprints whose quarantine this starts.
+func (l *Ledger) RecordEvents(list []CrashEvent, passOn bool) (quarantined []Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now, retention := l.steady(), l.settings().retentionMs()
+	now, retention := l.monotonic(), l.settings().retentionMs()
 	for _, e := range list {
 		at := now - max(0, e.AgeMs)
 		switch {
@@ -178,61 +178,61 @@
 		case e.Answered:
 			l.clearAnswered(e.Fingerprint, at)
 		case l.record(e.Fingerprint, e.Upstream, at, passOn):
-			held = append(held, e.Fingerprint)
+			quarantined = append(quarantined, e.Fingerprint)
 		}
 	}
-	return held
+	return quarantined
 }
 
-// HeldMs returns how much longer a fingerprint is quarantined, or 0.
-func (l *Ledger) HeldMs(fingerprint Fingerprint) clock.Millis {
+// QuarantineRemainingMs returns how much longer a fingerprint is quarantined, or 0.
+func (l *Ledger) QuarantineRemainingMs(fingerprint Fingerprint) clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.remainingHoldMs(l.fingerprints[fingerprint])
+	return l.remainingMs(l.fingerprints[fingerprint])
 }
 
-func (l *Ledger) remainingHoldMs(known terminations) clock.Millis {
+func (l *Ledger) remainingMs(known crashes) clock.Millis {
 	s := l.settings()
-	if s.Ends < 1 || len(known) < s.Ends {
+	if s.MinCrashes < 1 || len(known) < s.MinCrashes {
 		return 0
 	}
-	return max(0, known.newest()+s.HoldMs-l.steady())
+	return max(0, known.newest()+s.HoldMs-l.monotonic())
 }
 
-// Since returns at most limit events from a sequence number on, and the sequence number to continue
-// from.
-func (l *Ledger) Since(from int64, limit int) ([]Ending, int64) {
+// EventsSince returns at most limit events from a sequence number on, and the sequence number to
+// continue from.
+func (l *Ledger) EventsSince(from int64, limit int) ([]CrashEvent, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.events.since(from, limit, l.steady())
+	return l.events.since(from, limit, l.monotonic())
 }
 
-// Suspect is a fingerprint with the upstreams that terminated while they ran it.
+// Suspect is a fingerprint with the upstreams that crashed while they ran it.
 type Suspect struct {
 	Fingerprint Fingerprint
-	// Upstreams lists the incarnations that terminated.
+	// Upstreams lists the incarnations that crashed.
 	Upstreams []namekey.Key
-	// AgeMs is the time since the latest termination.
+	// AgeMs is the time since the latest crash.
 	AgeMs clock.Millis
 }
 
-// Held returns all quarantined fingerprints in ascending order.
-func (l *Ledger) Held() []Suspect {
+// Quarantined returns all quarantined fingerprints in ascending order.
+func (l *Ledger) Quarantined() []Suspect {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.suspects(func(known terminations) bool { return l.remainingHoldMs(known) > 0 })
+	return l.suspects(func(known crashes) bool { return l.remainingMs(known) > 0 })
 }
 
-// Suspects returns all fingerprints with at least minUpstreams terminations in ascending order.
+// Suspects returns all fingerprints with at least minUpstreams crashes in ascending order.
 func (l *Ledger) Suspects(minUpstreams int) []Suspect {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.suspects(func(known terminations) bool { return len(known) >= minUpstreams })
+	return l.suspects(func(known crashes) bool { return len(known) >= minUpstreams })
 }
 
-func (l *Ledger) suspects(match func(known terminations) bool) []Suspect {
+func (l *Ledger) suspects(match func(known crashes) bool) []Suspect {
 	list := []Suspect{}
-	now := l.steady()
+	now := l.monotonic()
 	for fingerprint, known := range l.fingerprints {
 		if match(known) {
 			list = append(list, Suspect{
@@ -244,31 +244,31 @@
 	return list
 }
 
-// Expire removes fingerprints whose latest termination is older than the retention time.
+// Expire removes fingerprints whose latest crash is older than the retention time.
 func (l *Ledger) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	oldest := l.steady() - l.settings().retentionMs()
-	maps.DeleteFunc(l.fingerprints, func(_ Fingerprint, known terminations) bool { return known.newest() <= oldest })
+	oldest := l.monotonic() - l.settings().retentionMs()
+	maps.DeleteFunc(l.fingerprints, func(_ Fingerprint, known crashes) bool { return known.newest() <= oldest })
 }
 
 // Sizes holds the sizes of a ledger for metrics.
 type Sizes struct {
-	// Fingerprints is the number of fingerprints with terminations, Held the number of those in
+	// Fingerprints is the number of fingerprints with crashes, Quarantined the number of those in
 	// quarantine.
 	Fingerprints int `json:"fingerprints"`
-	Held         int `json:"held"`
+	Quarantined  int `json:"held"`
 }
 
 // Sizes returns the sizes of the ledger for metrics.
 func (l *Ledger) Sizes() Sizes {
-	held := len(l.Held())
+	quarantined := len(l.Quarantined())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Sizes{Fingerprints: len(l.fingerprints), Held: held}
+	return Sizes{Fingerprints: len(l.fingerprints), Quarantined: quarantined}
 }
 
-// evict keeps the ledger within its limit. It removes fingerprints with the fewest terminations
+// evict keeps the ledger within its limit. It removes fingerprints with the fewest crashes
 // first and, among those, the oldest.
 func (l *Ledger) evict() {
 	if len(l.fingerprints) < maxFingerprints {
@@ -278,14 +278,14 @@
 		x, y := l.fingerprints[a], l.fingerprints[b]
 		return cmp.Or(cmp.Compare(len(x), len(y)), cmp.Compare(x.newest(), y.newest()))
 	})
-	// Half of the entries are removed at once, so that a long series of terminations rarely needs
+	// Half of the entries are removed at once, so that a long series of crashes rarely needs
 	// sorting.
 	for _, fingerprint := range evictionOrder[:maxFingerprints/2] {
 		delete(l.fingerprints, fingerprint)
 	}
 }
 
-func (t terminations) newest() clock.Millis {
+func (t crashes) newest() clock.Millis {
 	newest := clock.Millis(0)
 	for _, r := range t {
 		newest = max(newest, r.atMs)
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -23,7 +23,7 @@
 // Values of Explanation.Reason.
 const (
 	ReasonOpen     = "open"
-	ReasonLeaving  = "leaving"
+	ReasonDraining = "leaving"
 	ReasonEjected  = "ejected"
 	ReasonNoWeight = "weight is 0"
 	ReasonSlots    = "at this box's part of its slots"
@@ -60,8 +60,8 @@
 func (v *View) reason(position int) string {
 	m := &v.Members[position]
 	switch {
-	case m.Leaving:
-		return ReasonLeaving
+	case m.Draining:
+		return ReasonDraining
 	case m.Ejected:
 		return ReasonEjected
 	case m.Weight <= 0:
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -64,9 +64,9 @@
 
 // Client manages the connections to one upstream. It is safe for concurrent use.
 type Client struct {
-	address string
-	steady  func() clock.Millis
-	dial    Dial
+	address   string
+	monotonic func() clock.Millis
+	dial      Dial
 
 	mu     sync.Mutex
 	idle   []*conn
@@ -84,8 +84,8 @@
 func WithOnDial(call func()) Option { return func(c *Client) { c.onDial = call } }
 
 // New returns a client for the upstream at an address.
-func New(address string, steady func() clock.Millis, options ...Option) *Client {
-	c := &Client{address: address, steady: steady, dial: systemDial, onDial: func() {}}
+func New(address string, monotonic func() clock.Millis, options ...Option) *Client {
+	c := &Client{address: address, monotonic: monotonic, dial: systemDial, onDial: func() {}}
 	for _, option := range options {
 		option(c)
 	}
@@ -126,7 +126,7 @@
 
 // CloseExpired closes the idle connections that the upstream is about to close.
 func (c *Client) CloseExpired() {
-	now := c.steady()
+	now := c.monotonic()
 	c.mu.Lock()
 	remaining := c.idle[:0]
 	var expired []*conn
@@ -161,7 +161,7 @@
 		cn := c.idle[last]
 		c.idle = c.idle[:last]
 		c.mu.Unlock()
-		if c.steady() < cn.idleUntilMs && cn.reusable() {
+		if c.monotonic() < cn.idleUntilMs && cn.reusable() {
 			return cn
 		}
 		_ = cn.Close()
@@ -183,13 +183,13 @@
 		c.keepIdle(cn, defaultIdleTimeoutMs)
 		return
 	}
-	c.keepIdle(cn, cn.idleUntilMs-c.steady())
+	c.keepIdle(cn, cn.idleUntilMs-c.monotonic())
 }
 
 // keepIdle adds a connection to the idle connections for the given duration. It closes the connection
 // instead if the client is closed, the duration has passed or there are maxIdleConns already.
 func (c *Client) keepIdle(cn *conn, timeout clock.Millis) {
-	cn.idleUntilMs = c.steady() + timeout
+	cn.idleUntilMs = c.monotonic() + timeout
 	c.mu.Lock()
 	keepIdle := !c.closed && timeout > 0 && len(c.idle) < maxIdleConns
 	if keepIdle {
@@ -213,14 +213,14 @@
 	return newConn(raw), nil
 }
 
-// ReachMs is how long Reach waits for a connection, about thirty round trips between failure
-// domains.
-const ReachMs clock.Millis = 100
+// HostReachableTimeoutMs is how long HostReachable waits for a connection, about thirty round trips
+// between failure domains.
+const HostReachableTimeoutMs clock.Millis = 100
 
-// Reach reports whether the upstream's host responds. If a connection opens, it is kept for the next
-// request. A refused connection also shows that the host is up.
-func (c *Client) Reach(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, ReachMs.Duration())
+// HostReachable reports whether the upstream's host responds. If a connection opens, it is kept for
+// the next request. A refused connection also shows that the host is up.
+func (c *Client) HostReachable(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, HostReachableTimeoutMs.Duration())
 	defer cancel()
 	raw, err := c.dial(ctx, "tcp", c.address)
 	if err != nil {
@@ -238,27 +238,27 @@
 const (
 	// Alive means that the process accepts connections.
 	Alive Liveness = iota
-	// Ended means that the host is up and refuses connections.
-	Ended
-	// Silent means that the connection attempt failed in any other way, such as by a timeout.
-	Silent
+	// Dead means that the host is up and refuses connections.
+	Dead
+	// Unresponsive means that the connection attempt failed in any other way, such as by a timeout.
+	Unresponsive
 )
 
-// Liveness determines whether the upstream's process is running. If a connection opens, it is kept
+// ProbeLiveness determines whether the upstream's process is running. If a connection opens, it is kept
 // for the next request. No connection is opened while a usable idle one exists.
-func (c *Client) Liveness(ctx context.Context) Liveness {
+func (c *Client) ProbeLiveness(ctx context.Context) Liveness {
 	if cn := c.popIdle(); cn != nil {
 		c.putUnused(cn)
 		return Alive
 	}
-	ctx, cancel := context.WithTimeout(ctx, ReachMs.Duration())
+	ctx, cancel := context.WithTimeout(ctx, HostReachableTimeoutMs.Duration())
 	defer cancel()
 	raw, err := c.dial(ctx, "tcp", c.address)
 	switch {
 	case errors.Is(err, unix.ECONNREFUSED):
-		return Ended
+		return Dead
 	case err != nil:
-		return Silent
+		return Unresponsive
 	}
 	c.onDial()
 	c.keepIdle(newConn(raw), defaultIdleTimeoutMs)
@@ -275,12 +275,12 @@
 // Do sends a request and returns the header of its response. The context covers the whole exchange
 // including the response body; when it is done, the connection is closed. The caller must close the
 // response.
-func (c *Client) Do(ctx context.Context, r *Request) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, r *Request) (*Response, error) {
 	cn, err := c.connect(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.maySend(); err != nil {
+	if err := r.beforeSend(); err != nil {
 		c.putUnused(cn)
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -45,7 +45,7 @@
 }
 
 func (s *testUpstream) client() *Client {
-	return New(s.listener.Addr().String(), clock.New().Steady)
+	return New(s.listener.Addr().String(), clock.New().Monotonic)
 }
 
 // respondEach sends the next of the raw responses to each request. After the last one it closes the
@@ -68,7 +68,7 @@
 func request(id string) *Request {
 	return &Request{
 		Method: http.MethodPost, Target: "/a?b=c", Host: "h.example", Header: http.Header{"X-Id": {id}},
-		Body: []byte("body"), Mine: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Body: []byte("body"), Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
 
@@ -108,12 +108,12 @@
 		}
 		assert.Len(t, s.conns, 1)
 	})
-	t.Run("sends nothing when MaySend fails, and keeps the connection", func(t *testing.T) {
+	t.Run("sends nothing when BeforeSend fails, and keeps the connection", func(t *testing.T) {
 		s := startUpstream(t, respondEach(okResponse("2", "two")))
 		c := s.client()
 		late := request("1")
 		errLate := errors.New("late")
-		late.MaySend = func() error { return errLate }
+		late.BeforeSend = func() error { return errLate }
 		_, err := readAll(t, c, late)
 		require.ErrorIs(t, err, errLate)
 		assert.True(t, NothingSent(err))
@@ -131,7 +131,7 @@
 		_, err := readAll(t, c, request("1"))
 		require.NoError(t, err)
 		unsent := request("9")
-		unsent.MaySend = func() error { return errors.New("late") }
+		unsent.BeforeSend = func() error { return errors.New("late") }
 		_, err = readAll(t, c, unsent)
 		require.Error(t, err)
 		now += clock.Second
@@ -214,7 +214,7 @@
 	})
 	t.Run("is true when the header can't be written", func(t *testing.T) {
 		refused := errors.New("refused")
-		c := New("127.0.0.1:1", clock.New().Steady, WithDial(
+		c := New("127.0.0.1:1", clock.New().Monotonic, WithDial(
 			func(context.Context, string, string) (net.Conn, error) { return brokenConn{err: refused}, nil }))
 		_, err := readAll(t, c, request("1"))
 		require.ErrorIs(t, err, refused)
