--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -11,7 +11,7 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Error is an error response. Message names the invalid field and never contains a secret.
+// Error is an error response. If a field is invalid, Message names it. Message never contains a secret.
 type Error struct {
 	Status       int
 	Type         string
@@ -75,8 +75,8 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.cause }
 
-// From returns the Error in the chain of an error, or an internal error that hides it from the
-// caller.
+// From returns the Error in the chain of err. If there is none, it returns an internal error whose
+// response does not reveal err to the caller.
 func From(err error) *Error {
 	var apiErr *Error
 	if errors.As(err, &apiErr) {
--- a/internal/backing/backing.go
+++ b/internal/backing/backing.go
@@ -56,7 +56,7 @@
 	Offset int64 `json:"offset"`
 }
 
-// Log is a client of the log service. Do not copy after use.
+// Log is a client of the log service.
 type Log struct {
 	URL    string
 	Client *http.Client
--- a/internal/balance/largefleet_test.go
+++ b/internal/balance/largefleet_test.go
@@ -15,14 +15,15 @@
 	"dooryard.example/dooryard/internal/prompt"
 )
 
-// These tests guard against overloaded engines when a large fleet starts: hundreds of boxes see
-// about five requests a second each in front of hundreds of engines, and boxes in a fleet of that
-// size don't report their loads to each other. At the start 182 of 5,267 requests within 5 s went
-// to engines above twice the mean plus three, where 3% are allowed, and the first two seconds had a
-// 99th percentile of 1.2 s. In the logs of the boxes, about 330 of some 340 such picks went to
-// engines that the box considered idle. They hit 54 of 240 engines, and a third of them hit four:
-// engines with more sessions than others and slow ones, while prompts are prefilled for the first
-// time.
+// These tests guard against overloaded engines when a large fleet starts. Hundreds of boxes receive
+// about five requests a second each and send them to hundreds of engines. In a fleet of that size,
+// boxes don't report their loads to each other.
+//
+// When this fault occurred, 182 of the 5,267 requests of the first 5 s went to engines above twice the
+// mean plus three, which is more than the permitted 3%. The 99th percentile of the first two seconds
+// was 1.2 s. According to the boxes' logs, about 330 of some 340 such picks chose an engine that the
+// box considered idle. These picks went to 54 of 240 engines, and a third of them to only four: slow
+// engines and engines with more sessions than others, while prompts were prefilled for the first time.
 
 // requestKind is a kind of request in the traffic of the large fleet.
 type requestKind struct {
@@ -60,7 +61,7 @@
 type largeFleet struct {
 	*simulation
 	models map[string]*engineModel
-	// responseStarts holds the requests whose responses start at an instant.
+	// responseStarts holds the requests by the time at which their responses start.
 	responseStarts map[clock.Millis][]*Lease
 	// ledger represents the ledgers of all owners.
 	ledger         *occupancy.Ledger
@@ -122,7 +123,8 @@
 // messageLossPercent is the percentage of messages between boxes and owners that are lost.
 const messageLossPercent = 2
 
-// acquirePermit requests a permit as a box does.
+// acquirePermit requests a permit as a box does: if the request or the reply is lost, the box
+// continues as if the permit were granted.
 func (f *largeFleet) acquirePermit(lease *Lease, bound int) PermitReply {
 	lost := func() bool { return f.random.IntN(percent) < messageLossPercent }
 	f.permitRequests++
@@ -139,7 +141,8 @@
 	return PermitReply{Granted: granted || lost(), Release: release}
 }
 
-// gossipRunning informs each box once a second approximately how many requests all boxes run.
+// gossipRunning tells each box once a second the approximate number of requests that all boxes
+// together have in flight.
 func (f *largeFleet) gossipRunning() {
 	for i, m := range f.boxes {
 		if int(f.now)%msPerSecond == i*msPerSecond/len(f.boxes) {
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -36,13 +36,15 @@
 	Rank int
 	// Load is the estimated number of requests at the upstream before this one.
 	Load int
-	// Spread is the number of engines over which the session is spread; 0 for requests without one.
+	// Spread is the number of engines over which the session is spread, or 0 for requests that don't
+	// belong to a session.
 	Spread int
-	// MeanPercent is the mean load of the pool at that time, in percent of a request.
+	// MeanPercent is the mean number of requests per upstream of the pool at the time of the pick,
+	// times 100.
 	MeanPercent int
 	// FetchFrom is the address of the engine to fetch cached parts from, or "".
 	FetchFrom string
-	// Prefill is what the engine is expected to prefill of the shared parts.
+	// Prefill is the portion of the shared parts that the engine is expected to prefill.
 	Prefill Prefill
 	// Skipped is the engine that ranks first for the session, if it was skipped.
 	Skipped Skipped
@@ -112,9 +114,10 @@
 
 const percent = 100
 
-// candidates returns the members that may receive the request. Ejections apply only while enough
-// members remain. Members behind a partitioned path can't be reached at all, and members that
-// decline requests get none.
+// candidates returns the members that may receive the request. It first excludes members that were
+// tried, are behind a partitioned path, are draining or are backing off. Of the others it also excludes
+// those that are ejected or were sent a trial request recently, unless these are more than PanicPercent
+// of the others.
 func (m *Manager) candidates(a PickRequest, now clock.Millis) []*Member {
 	healthy, all := []*Member{}, []*Member{}
 	for _, member := range m.pools[a.Pool] {
@@ -134,8 +137,8 @@
 }
 
 // pickSticky chooses the first engine in the session's order that is below the bound, or else the
-// least loaded one. A session that needs more capacity than one engine has starts at a random one
-// of as many engines as it needs.
+// least loaded one. If a session needs more capacity than one engine has, the search starts at a
+// random one of the first engines, of which there are as many as the session needs.
 func (m *Manager) pickSticky(lease *Lease, members []*Member, a PickRequest, total int, now clock.Millis) {
 	ranked := rank(a.Prompt.Session(), members)
 	bound := m.bound(total, len(members))
@@ -164,7 +167,8 @@
 	}
 }
 
-// sessionShare counts a request, and returns its session's share of the pool's recent requests.
+// sessionShare returns the session's share of the pool's recent requests. It counts the request,
+// unless this is a further pick after an owner refused a permit.
 func (m *Manager) sessionShare(a PickRequest, now clock.Millis) float64 {
 	h := m.hotSessions[a.Pool]
 	if h == nil {
@@ -178,21 +182,23 @@
 }
 
 // bound returns the maximum load of an engine: the configured multiple of the mean including this
-// request, rounded up, and a slack that matters while the mean is small.
+// request, rounded up, plus boundSlack, which matters while the mean is small, minus the load that
+// may be unreported. It is always above the mean.
 func (m *Manager) bound(total, members int) int {
 	bound := ((total+1)*m.settings.BoundPercent+members*percent-1)/(members*percent) + boundSlack
 	return max(bound-m.unreportedLoad(bound), (total+members)/members)
 }
 
-// unreportedLoad returns how much of a load may be unknown because the load reports of other boxes
-// are old. If they are as old as requests usually take, it is the standard deviation of a count of
-// the same size.
+// unreportedLoad returns how much of a load may be unknown to this box because the load reports of
+// other boxes are old. If the reports are at least as old as requests usually take, this is the
+// standard deviation of a count of that size. It is proportionally less for newer reports.
 //
-// Without it, engines fill up unnoticed if boxes exchange loads only every 1.25 s: on three days
-// with aggressive clients at 87 boxes, 4.2 to 4.7% of the requests of some 5 s went to engines
-// above twice the mean, and under 3% with it (three days each, the limit is 3%). The value score
-// there was 0.873, 0.894 and 0.889 without and 0.872, 0.891 and 0.879 with it, as more prompts are
-// prefilled again. Six boxes exchange loads every 0.25 s, and their bound stays the same.
+// Without this correction, engines are overloaded unnoticed if boxes exchange loads only every
+// 1.25 s. On three days with aggressive clients at 87 boxes, 4.2 to 4.7% of the requests in some
+// windows of 5 s went to engines above twice the mean; with it, under 3% did (three days each, the
+// limit is 3%). The value score there was 0.873, 0.894 and 0.889 without it, and 0.872, 0.891 and
+// 0.879 with it, because more prompts are prefilled again. Six boxes exchange loads every 0.25 s,
+// and their bound stays the same.
 func (m *Manager) unreportedLoad(load int) int {
 	if m.fleetInFlightByPool != nil {
 		// Owners count the load that boxes don't report to each other.
@@ -202,8 +208,9 @@
 	return int(math.Sqrt(float64(load)) * staleness)
 }
 
-// boundSlack is how many requests an engine may hold above the multiple, for load that boxes don't
-// know of each other yet. It is one less than operators allow on top of the multiple.
+// boundSlack is how many requests an engine may hold in addition to the multiple of the mean, because
+// boxes don't know of each other's newest requests yet. It is one less than the number that operators
+// allow in addition to the multiple.
 const boundSlack = 2
 
 // rank orders members for a session by rendezvous hashing.
@@ -219,8 +226,8 @@
 	return order
 }
 
-// pickLeastLoaded chooses the least loaded member, preferring this failure domain while it has free
-// slots.
+// pickLeastLoaded chooses the member with the lowest cost, which favors this failure domain. Among
+// members with the same cost it chooses the first one after a random position.
 func (m *Manager) pickLeastLoaded(lease *Lease, members []*Member, now clock.Millis) {
 	best, bestCost := 0, 0
 	first := m.random(len(members))
@@ -244,8 +251,8 @@
 	return cost
 }
 
-// crossDomainPercent is how much fuller a member of this failure domain may be than one of another
-// domain before the other one is chosen.
+// crossDomainPercent is by how many percentage points the load of a member of this failure domain may
+// exceed that of a member of another domain before the other one is chosen.
 const crossDomainPercent = 34
 
 // Release stops counting the request and updates the upstream's health. It may be called more than
--- a/internal/balance/pick_bench_test.go
+++ b/internal/balance/pick_bench_test.go
@@ -9,11 +9,14 @@
 	"dooryard.example/dooryard/internal/upstream"
 )
 
-// BenchmarkPick measures a pick with its release. Before upstreams could request a backoff, a
-// session's engine took 3.3 to 3.8 us among 15 upstreams and 7.0 to 7.3 ms among 10,000, and a plain
-// upstream 1.2 to 1.3 us and 0.90 to 0.95 ms. Since then it is 4.0 to 4.1 us and 6.8 to 7.5 ms, and
-// 1.4 to 1.6 us and 0.95 to 1.04 ms, with the same allocations. With all upstreams backing off it is
-// 0.2 us among 15 and 0.25 to 0.38 ms among 10,000 (three runs each).
+// BenchmarkPick measures a pick with its release. The times per operation, with the same allocations
+// before and after upstreams could request a backoff (three runs each), are:
+//
+//   - session among 15 upstreams: 3.3 to 3.8 us before, 4.0 to 4.1 us after
+//   - session among 10,000 upstreams: 7.0 to 7.3 ms before, 6.8 to 7.5 ms after
+//   - plain request among 15 upstreams: 1.2 to 1.3 us before, 1.4 to 1.6 us after
+//   - plain request among 10,000 upstreams: 0.90 to 0.95 ms before, 0.95 to 1.04 ms after
+//   - all upstreams backing off: 0.2 us among 15, 0.25 to 0.38 ms among 10,000
 func BenchmarkPick(b *testing.B) {
 	for _, count := range []int{15, 10_000} {
 		for name, ask := range map[string]PickRequest{"session": sticky("s"), "plain": {Pool: "p"}} {
--- a/internal/balance/probes.go
+++ b/internal/balance/probes.go
@@ -11,16 +11,17 @@
 // Thresholds for probing a failure domain. Silence suggests that the path to it is partitioned;
 // connections that can't be opened prove it.
 const (
-	// A false alarm costs a probe: with shorter thresholds, 87 boxes opened 58,000 connections on a
-	// day that needs 22,000.
+	// With shorter thresholds than these, false alarms cause many additional probes: 87 boxes opened
+	// 58,000 connections in a day for which 22,000 suffice.
 	//
 	// maxResponseSilenceMs is how long a domain may be silent while at least minResponding
 	// responses are being received from it. It is several times the pause between two events of a
-	// response, and longer than an engine's other streams wait while it prefills a long prompt.
+	// response. It is also longer than the pause that an engine's other streams have while the engine
+	// prefills a long prompt.
 	maxResponseSilenceMs clock.Millis = 100
 	minResponding        int          = 4
-	// heartbeatGraceMs is how much longer than the heartbeat interval a domain may be silent
-	// otherwise: some ten round trips.
+	// heartbeatGraceMs is how much longer than the heartbeat interval a domain may be silent,
+	// regardless of the responses being received: about ten round trips.
 	heartbeatGraceMs clock.Millis = 50
 	// maxProbeTargets is how many upstreams a probe of the path connects to, because a single one may
 	// be down.
@@ -47,9 +48,9 @@
 	p.recordContact(m.monotonic())
 }
 
-// Probes returns the probes that are due. HeartbeatMs is the interval at which some box of a
-// failure domain is pinged, by domain. Paused is set if this box itself was paused, so that the
-// silence of others does not indicate a partition.
+// Probes returns the probes that are due. The map heartbeatMs holds, by failure domain, the interval
+// at which one of the domain's boxes is pinged. The flag paused is set if this box itself was
+// paused, so that the silence of others does not indicate a partition.
 func (m *Manager) Probes(heartbeatMs map[string]clock.Millis, paused bool) []Probe {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -88,7 +89,8 @@
 }
 
 // RecordProbe records the result of a probe: opened is set if any connection was opened, or was refused
-// by a reachable host. It returns how long the path was partitioned, and whether its state changed.
+// by a reachable host. It reports whether the state of the path changed. If a partition has ended,
+// partitionMs is its duration; it has no meaning if the state did not change.
 func (m *Manager) RecordProbe(name string, opened bool) (partitionMs clock.Millis, changed bool) {
 	partitionMs, changed, callbacks := m.recordProbe(name, opened)
 	for _, callback := range callbacks {
@@ -97,8 +99,8 @@
 	return partitionMs, changed
 }
 
-// recordProbe records the result of a probe, and returns the callbacks of the requests behind a
-// path that has become partitioned.
+// recordProbe records the result of a probe. If the path has become partitioned, it returns the
+// callbacks of the requests that use the path.
 func (m *Manager) recordProbe(name string, opened bool) (partitionMs clock.Millis, changed bool, callbacks []func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/balance/signals.go
+++ b/internal/balance/signals.go
@@ -41,10 +41,10 @@
 // responses. They belong to its incarnation: changes of its registry entry, its health and its load
 // don't affect them.
 //
-// Boxes that ignored them sent up to 7 requests during a backoff (more than 2 in 38 to 44 of 189 to
-// 203 backoffs) where half of twelve upstreams shed load, and 136 to 145 requests to four upstreams
-// that had announced that they are draining 2 s before (90 requests a second at six boxes, one run
-// each); with the signals, none.
+// Six boxes that received 90 requests a second and ignored these signals sent up to 7 requests during a
+// backoff while half of twelve upstreams shed load; in 38 to 44 of 189 to 203 backoffs they sent more
+// than 2. They sent 136 to 145 requests to four upstreams that had announced 2 s before that they were
+// draining. Boxes that apply the signals sent none in either case (one run each).
 //
 // A signal applies to the box that received it and is not shared with others. An upstream that
 // wants all boxes to back off signals each of them.
@@ -63,9 +63,9 @@
 	departedMs clock.Millis
 }
 
-// signalsTTLMs is how long a box keeps the signals of an upstream whose entry is gone, including
-// those that its responses add later. It is many times as long as an upstream takes to shut down
-// and as a store is unavailable.
+// signalsTTLMs is how long a box keeps the signals of an upstream after its entry disappeared. Signals
+// in responses that arrive later are also kept only until then. It is many times the duration of an
+// upstream's shutdown or of a store outage.
 const signalsTTLMs = 10 * 60 * clock.Second
 
 func (s *upstreamSignals) backingOff(now clock.Millis) bool { return now < s.backoffUntilMs }
@@ -82,10 +82,11 @@
 // refuses reports whether the upstream accepts no new requests from this box.
 func (m *Member) refuses(now clock.Millis) bool { return m.draining() || m.signals.backingOff(now) }
 
-// BackOff records that the upstream asked this box in the refusal of a request to back off for a
-// duration, and reports whether it was not backing off before. The latest end applies. Afterwards
-// the upstream receives single trial requests, as after an ejection, until one is answered: all
-// requests that wait for the end of a backoff would overload it again.
+// BackOff records that the upstream refused a request and asked this box to back off for a duration.
+// It reports whether the upstream was not backing off before. If several backoffs overlap, the one
+// that ends last applies. After the backoff the upstream receives single trial requests, as after an
+// ejection, until it answers one: if all waiting requests were sent at once, they would overload it
+// again.
 func (l *Lease) BackOff(duration clock.Millis, request string) bool {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
@@ -141,14 +142,16 @@
 	return counts
 }
 
-// signalsFor returns the signals of an upstream that is new to the list. Previous are the known
-// signals of its server, or nil. An incarnation whose entry was gone for a while keeps its signals.
+// signalsFor returns the signals of an upstream that is new to the list. The parameter previous holds
+// the known signals of its server, or nil. An incarnation whose entry was gone for a while keeps its
+// signals.
 //
-// A backoff may have been requested by the next incarnation if it was received after connections to
-// the previous one broke or were refused, or shortly before the restart was noticed. When boxes
-// dropped such a backoff, six of them sent 4 to 8 requests each during it, and a box that had seen
-// no connection fail sent 4. In doubt the upstream stays in backoff, which costs a box some seconds
-// of its capacity.
+// A backoff that is attributed to the previous incarnation may have been requested by the next one, if
+// it was received after connections to the previous one broke or were refused, or shortly before the
+// restart was noticed. Boxes that dropped such a backoff kept sending requests during it: six boxes
+// sent 4 to 8 requests each, and a box that had seen no connection fail sent 4. A backoff whose
+// incarnation is uncertain is therefore kept. If it was the previous one's, the box does without the
+// upstream's capacity for some seconds.
 func (m *Manager) signalsFor(u registry.Upstream, previous *upstreamSignals) *upstreamSignals {
 	if stored := m.departedSignals[u.ID]; stored != nil {
 		delete(m.departedSignals, u.ID)
@@ -168,8 +171,8 @@
 	}
 }
 
-// maxRestartLagMs is how long boxes usually take at most to notice the restart of a server: a
-// heartbeat, a poll of the store and as much again.
+// maxRestartLagMs is the usual maximum time until boxes notice the restart of a server. It is twice
+// the sum of a heartbeat interval and a poll of the store.
 const maxRestartLagMs = 3 * clock.Second
 
 // successorBackoffUntil returns the end of the backoff that the next incarnation inherits from a
--- a/internal/balance/skipped.go
+++ b/internal/balance/skipped.go
@@ -29,7 +29,8 @@
 	SkipEjected SkipReason = "ejected"
 	// SkipDomainUnreachable means that the path to its failure domain is partitioned.
 	SkipDomainUnreachable SkipReason = "failure domain unreachable"
-	// SkipSpread means that the session needs several engines, one of which was chosen at random.
+	// SkipSpread means that the session is spread over several engines and another one of them was
+	// chosen.
 	SkipSpread SkipReason = "one of several for a popular session"
 	// SkipOverloaded means that the engine has reached its load bound.
 	SkipOverloaded SkipReason = "over the load bound"
--- a/internal/box/demand.go
+++ b/internal/box/demand.go
@@ -72,7 +72,7 @@
 }
 
 // share returns this box's share of an organisation's fleet-wide limits as of the last period.
-// An organisation without recent requests gets the even share.
+// If the organisation has sent this box no recent requests, this is an equal share for each box.
 func (b *Box) share(name string) float64 {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
--- a/internal/box/engines.go
+++ b/internal/box/engines.go
@@ -29,8 +29,8 @@
 	orderIntervalMs      = 2 * clock.Second
 )
 
-// leaseStream returns the name of the log stream that holds a failure domain's lease to send
-// orders.
+// leaseStream returns the name of the log stream of a failure domain's lease. Only the box that holds
+// the lease sends orders to the domain's engines.
 func leaseStream(domain string) string { return "orders-" + domain }
 
 func (b *Box) buildLease(context.Context) error {
@@ -41,7 +41,7 @@
 }
 
 // shouldSendOrders reports whether this box should send the orders of its failure domain. Only
-// the first live box by name does, so that boxes don't compete for the lease.
+// the first live box by name does, unless it is draining, so that boxes don't compete for the lease.
 func (b *Box) shouldSendOrders() bool {
 	live := b.gossip.Live()
 	return len(live) > 0 && live[0] == b.settings.Box && !b.draining.Load()
--- a/internal/gateway/pause_detector.go
+++ b/internal/gateway/pause_detector.go
@@ -12,11 +12,12 @@
 	// pauseThresholdMs is the length of a pause of the process after which its state may be stale. It is longer than
 	// the scheduling delays of a busy machine and short compared to the operators' bounds.
 	pauseThresholdMs clock.Millis = 500
-	// maxRefreshWaitMs is how long requests wait after a pause for the box to refresh its state, if the last
-	// confirmation is too old. It covers a few gossip rounds and a read of the store, with a margin. If no refresh
-	// succeeds, requests are processed as they are while the store is unavailable. Meanwhile the box asks its peers
-	// every 50 ms instead of once per round: with all boxes stopped for 2.5 s the worst windows reached 0.54 of their
-	// maximum score, compared to 0.23 with one query per round (one paired run).
+	// maxRefreshWaitMs is the maximum time for which requests wait for the box to refresh its state after a pause, if
+	// the last confirmation is too old. It covers a few gossip rounds and a read of the store, with a margin. If the
+	// refresh does not succeed within this time, requests are processed in the same way as while the store is
+	// unavailable. Until the refresh, the box asks its peers every 50 ms instead of once per round: after all boxes
+	// were stopped for 2.5 s, the worst windows reached 0.54 of their maximum score, compared to 0.23 with one query
+	// per round (one paired run).
 	maxRefreshWaitMs clock.Millis = 400
 	// refreshPollMs is how often a waiting request checks for the refresh.
 	refreshPollMs clock.Millis = 20
--- a/internal/gateway/store_test.go
+++ b/internal/gateway/store_test.go
@@ -144,7 +144,7 @@
 	}}
 }
 
-// notesFor returns the access of a box to the notes.
+// notesFor returns the functions with which a box accesses the notes in the store.
 func (s *store) notesFor(box string) Notes {
 	return Notes{
 		Put: func(_ context.Context, name string, note []byte) error {
--- a/internal/gateway/timing.go
+++ b/internal/gateway/timing.go
@@ -7,8 +7,8 @@
 
 // Delays that must fit into the operators' bounds.
 const (
-	// directReadMarginMs is the minimum by which a confirmation must exceed its usual age before a box reads the store
-	// directly: about the transit time of one answer.
+	// directReadMarginMs is by how much the age of a confirmation must at least exceed its usual age before a box
+	// reads the store directly. It is about the transit time of one answer.
 	directReadMarginMs clock.Millis = 100
 	// directReadLeadMs is how long a box needs to notice the age, read the store and apply the result if the store is
 	// about ten times slower than usual.
@@ -20,8 +20,8 @@
 
 // Limits of the values that are derived from the operators' bounds.
 const (
-	// maxPeriodMs is the gossip period unless the bounds require a shorter one. A load of this age plus a round trip
-	// is about as fresh as an upstream's own report.
+	// maxPeriodMs is the gossip period, unless the bounds require a shorter one. With this period, the loads that boxes
+	// exchange are about as recent, including a round trip, as the ones that upstreams report themselves.
 	maxPeriodMs clock.Millis = 250
 	// periodsInSlack is the number of gossip periods that fit into the age at which a box reads the store directly. Two
 	// rounds pass before the box has asked its reader again, and the wait of a read is longer than that.
--- a/internal/grant/ledger.go
+++ b/internal/grant/ledger.go
@@ -1,8 +1,9 @@
 // Package grant assigns each engine an owner among the boxes of a failure domain. The owner, which
 // rendezvous hashing selects, counts the requests in flight on the engine from all boxes and
+// rendezvous hashing selects, counts the requests in flight on the engine from all boxes and
 // remembers where sessions have cached prefixes. A box asks the owner for a slot before it sends a
 // request and reports when the slot is free again. The load bound therefore holds although each box
-// sees only a small part of the traffic and load reports lag. A box whose owner does not answer
+// sees only a small part of the traffic and load reports lag. If the owner does not answer, the box
 // decides by itself.
 package grant
 
@@ -40,7 +41,7 @@
 	settings Settings
 	places   map[Place]*counts
 	totals   map[totalKey]reportedCount
-	// reported is a scratch buffer of mean.
+	// reported is a buffer that mean reuses.
 	reported []int
 }
 
@@ -76,7 +77,8 @@
 	// Total is the number of requests that the box has in flight on the whole pool if it gets the
 	// slot.
 	Total int
-	// Settle restricts the grant to an upstream whose load is below the mean.
+	// Settle restricts the grant to an upstream whose load, including this request, is at most
+	// settleFraction of the mean, rounded up.
 	Settle bool
 }
 
@@ -95,9 +97,10 @@
 	Closed bool
 }
 
-// Ask grants a slot if the upstream stays within the load bound and its slots, and if it meets the
-// condition of Settle. Over is the number of requests by which the upstream would exceed the limit.
-// It is not positive when the slot is granted.
+// Ask grants a slot if the upstream's load stays within the load bound and the number of its slots,
+// and if the condition of Settle is met. Over is the number of requests by which the load would exceed
+// the bound or the slots. It is not positive when the slot is granted, or when it is refused only
+// because of Settle.
 func (l *Ledger) Ask(a Ask, s Standing, now clock.Millis) (granted bool, over int) {
 	l.totals[totalKey{pool: s.Pool, box: a.Box}] = reportedCount{count: a.Total, receivedMs: now}
 	c := l.counts(a.Place)
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -19,8 +19,8 @@
 	// renewIntervalMs is the interval between renewals, and the minimum interval between two
 	// attempts to acquire.
 	renewIntervalMs = 5 * clock.Second
-	// clockMarginMs is how much earlier a holder considers its own lease expired. Clock rates
-	// of two machines differ by less than this over one lease duration.
+	// clockMarginMs is how much earlier than other boxes a holder considers its own lease expired. Clock
+	// rates of two machines differ by less than this over one lease duration.
 	clockMarginMs = 2 * clock.Second
 	// pollMs is how long one read of the stream waits for new records.
 	pollMs = 5 * clock.Second
@@ -41,7 +41,7 @@
 	// heldUntilMs is the end of this box's lease by its own clock, counted from before the
 	// append that acquired or renewed it.
 	heldUntilMs clock.Millis
-	// lastAppendMs is the time of the newest append.
+	// lastAppendMs is the time of the latest attempt to append a record.
 	lastAppendMs clock.Millis
 	// sinceMs is when this box first held the lease under the current token.
 	sinceMs clock.Millis
@@ -62,8 +62,8 @@
 	group.Wait()
 }
 
-// follow can start at the oldest record that the log retains, because all leases before it
-// have expired.
+// follow reads the lease's stream. It can start at the oldest record that the log retains, because
+// all earlier leases have expired.
 func (k *Keeper) follow(ctx context.Context) {
 	follower := logstream.NewLogFollower(k.log, k.stream, k.applyRecord,
 		logstream.WithClock(k.clock), logstream.WithLogger(k.logger))
@@ -113,8 +113,9 @@
 	}
 }
 
-// due returns the action to append now, if any. It compares the log's timestamps with this
-// box's clock: an acquire record that is appended too early has no effect.
+// due returns the action to append now, if any. It compares the log's timestamps with this box's
+// clock. This is safe even if the clocks differ, because an acquire record that is appended too early
+// has no effect.
 func (k *Keeper) due() (Action, bool) {
 	now := k.clock.Now()
 	wants := k.wants()
--- a/internal/logstream/follower.go
+++ b/internal/logstream/follower.go
@@ -34,7 +34,8 @@
 	clock   clock.Clock
 	logger  *zap.Logger
 	sources func() []Source
-	// record is called for each record, in order of offsets and without gaps.
+	// record is called for each record in the order of offsets. Records are only skipped by Advance
+	// and expired.
 	record func(backing.Record)
 	// expired is called when the requested offset is past the retention of a
 	// source. It returns the offset at which to continue.
--- a/internal/mesh/permits_test.go
+++ b/internal/mesh/permits_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// permits returns the number of permits that all boxes count as owners, after removing expired ones.
+// permits returns the total number of unexpired permits that the boxes have granted as owners.
 func (f *fixture) permits() int {
 	sum := 0
 	for _, b := range f.boxes {
--- a/internal/pipe/forward/send.go
+++ b/internal/pipe/forward/send.go
@@ -18,7 +18,7 @@
 )
 
 // maxResponseBytes limits the size of a response that is not streamed. Such a response is buffered
-// completely before any of it is sent, so that the caller never gets a truncated response as complete.
+// completely before any of it is sent, so that a truncated response never looks complete to the caller.
 const maxResponseBytes = 16 << 20
 
 // send makes one attempt. It returns nil if the caller has the complete response.
@@ -62,8 +62,8 @@
 	return p.relayBuffered(x, lease, response)
 }
 
-// request builds the request to the upstream. Its body can't be read a second time, so that
-// the HTTP client never retries it on its own.
+// request builds the request to the upstream. A body can't be read a second time, so that the HTTP
+// client never resends it on its own.
 func (p *Pipe) request(ctx context.Context, x *exchange.Exchange, lease *pool.Lease) (*http.Request, error) {
 	target := url.URL{Scheme: lease.Scheme, Host: lease.Row.Address, Path: x.Path, RawQuery: x.Request.URL.RawQuery}
 	if lease.Remote != nil {
@@ -117,7 +117,7 @@
 	"Traceparent": true, "Tracestate": true,
 }
 
-// copyHeader copies end-to-end headers. Headers listed in Connection are hop-by-hop, too.
+// copyHeader copies all headers except droppedHeaders and those that Connection lists as hop-by-hop.
 func copyHeader(target, source http.Header) {
 	hopByHop := map[string]bool{}
 	for _, value := range source.Values("Connection") {
@@ -130,8 +130,8 @@
 	}
 }
 
-// checkResponse checks the response headers: whether the response belongs to this request, and
-// whether the upstream ran the request.
+// checkResponse checks the response headers. It returns a failure if the response does not belong to
+// this request, if the upstream did not run the request, or if a repeatable request got a 5xx status.
 func (p *Pipe) checkResponse(x *exchange.Exchange, lease *pool.Lease, response *http.Response) *failure {
 	echoed := response.Header.Get(engine.HeaderRequestID)
 	if echoed != x.ID && (echoed != "" || x.Kind == exchange.Chat) {
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// relayBuffered relays a response that is not streamed once it has arrived completely.
+// relayBuffered relays a response that is not streamed. It buffers the complete response first.
 func (p *Pipe) relayBuffered(x *exchange.Exchange, lease *pool.Lease, response *http.Response) *failure {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 && x.Request.Method != http.MethodHead {
 		return &failure{cause: errNoLength, upstreamFault: true}
--- a/internal/pipe/forward/stream.go
+++ b/internal/pipe/forward/stream.go
@@ -75,7 +75,7 @@
 	return err != nil && s.numbered && !errors.Is(err, errCallerGone) && s.x.Context().Err() == nil
 }
 
-// relayEvents relays events up to the last one. Nothing is sent to the caller before the first
+// relayEvents relays events until the body ends. Nothing is sent to the caller before the first
 // event, so that a response that breaks earlier can be retried on another upstream.
 func (s *streamRelay) relayEvents(body io.ReadCloser) error {
 	idle := s.p.newIdleTimer(body)
--- a/internal/pipe/match/match.go
+++ b/internal/pipe/match/match.go
@@ -54,7 +54,8 @@
 }
 
 // splitHash returns the hash that selects a pool in a weighted split. On sticky routes it is the same
-// for all requests of a session, so that they go to the same pool.
+// for all requests of a session, so that they go to the same pool. Prompts of a single part are
+// distributed by request.
 func splitHash(r *opaque.Request) uint64 {
 	if r.Route.Sticky && len(r.Prompt) > 1 {
 		return route.HashName(r.Prompt.Session())
--- a/internal/pipe/screen/screen.go
+++ b/internal/pipe/screen/screen.go
@@ -1,6 +1,6 @@
 // Package screen is the pipeline step that refuses quarantined requests. Upstreams have crashed
-// while they ran such a request; each further one that receives it would crash as well and lose
-// all its other requests.
+// while they ran such a request. It would probably crash each further upstream that receives it, which
+// would break all other requests there.
 package screen
 
 import (
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -12,7 +12,7 @@
 
 // Settings configure when a fingerprint is quarantined. They may change at run time.
 type Settings struct {
-	// MinCrashes is the number of crashed upstreams from which a fingerprint is quarantined. Values
+	// MinCrashes is the number of crashed upstreams that starts the quarantine of a fingerprint. Values
 	// below 1 disable the quarantine.
 	MinCrashes int
 	// HoldMs is how long a fingerprint stays quarantined after the latest crash.
@@ -44,9 +44,9 @@
 	maxFingerprints = 4096
 	// retentionHolds is how long crashes are kept, as a multiple of the hold time.
 	retentionHolds = 2
-	// answeredGraceMs is how long crashes are not attributed to a fingerprint after it was
-	// answered. A request that crashes upstreams is never answered. Callers that repeat the same
-	// request often, such as a status poll, have one running whenever an upstream crashes.
+	// answeredGraceMs is how long after an answer to a fingerprint no crash is attributed to it. A
+	// request that crashes upstreams is never answered. A request that callers repeat often, such as a
+	// status poll, is running whenever an upstream crashes, and must not be quarantined for that.
 	answeredGraceMs = 60 * clock.Second
 )
 
@@ -121,9 +121,9 @@
 	return before == 0 && l.remainingMs(known) > 0
 }
 
-// minRelayedCrashes is the number of crashes of a fingerprint from which a box relays those
-// that it learned from other boxes. Below it, only the boxes that observed a crash publish it:
-// relaying every crash cost each of 64 boxes 1,735 bytes per crash instead of 84
+// minRelayedCrashes is the number of crashes of a fingerprint at which a box starts to relay the
+// crashes that it learned from other boxes. Below it, only the boxes that observed a crash publish
+// it: relaying every crash cost each of 64 boxes 1,735 bytes per crash instead of 84
 // (TestCrashEventBytes).
 const minRelayedCrashes = 2
 
@@ -164,9 +164,9 @@
 	return before > 0 && l.remainingMs(known) == 0
 }
 
-// RecordEvents merges events received from another box. If passOn is set, they are relayed in any
-// case, as needed in a fleet that is too large for each box to reach all others. It returns the
-// fingerprints whose quarantine this starts.
+// RecordEvents merges events received from another box. If passOn is set, crashes are relayed even
+// below minRelayedCrashes, as needed in a fleet that is too large for each box to reach all others.
+// It returns the fingerprints whose quarantine was started by the events.
 func (l *Ledger) RecordEvents(list []CrashEvent, passOn bool) (quarantined []Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/registry/histories_test.go
+++ b/internal/registry/histories_test.go
@@ -35,7 +35,7 @@
 	entryExpiryMs clock.Millis = 3600
 )
 
-// modelLog is the store's log. A record without a server is a removed entry.
+// modelLog is the store's log. A record with removed set removes the server's entry.
 type modelLog struct {
 	era     int64
 	records []logRecord
@@ -222,8 +222,8 @@
 	}
 }
 
-// settle makes all running servers write again, drops the entries of the others, and updates
-// the boxes.
+// settle makes the running servers write the records again that the store has lost, drops the entries
+// of the others, and updates the boxes.
 func (h *history) settle() {
 	for _, s := range h.servers {
 		switch {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -66,8 +66,8 @@
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// PoolFor chooses one of the route's pools for a random number drawn uniformly from all uint64
-// values. The same number gives the same pool as long as the weights are unchanged.
+// PoolFor chooses one of the route's pools by a random number or hash that is uniformly distributed
+// over all uint64 values. The same number gives the same pool as long as the weights are unchanged.
 func (r *Route) PoolFor(draw uint64) string {
 	total := 0
 	for _, s := range r.Splits {
