--- a/internal/balance/hotsessions.go
+++ b/internal/balance/hotsessions.go
@@ -10,7 +10,8 @@
 
 const (
 	// countHalfLifeMs is the interval at which the counts of this box are halved. A few seconds are
-	// enough to see a session that others use too, and a surge is spread within its first second.
+	// enough to detect a session that other boxes use too, and a surge is spread within its first
+	// second.
 	countHalfLifeMs = 2 * clock.Second
 	// minHotRequests is the minimum number of requests of a hot session. With fewer, chance alone can
 	// produce any share.
--- a/internal/balance/largefleet_test.go
+++ b/internal/balance/largefleet_test.go
@@ -17,7 +17,7 @@
 
 // These tests guard against overloaded engines when a large fleet starts: hundreds of boxes see
 // about five requests a second each in front of hundreds of engines, and boxes in a fleet of that
-// size don't report their loads to each other. At the start 182 of 5,267 requests within 5 s went
+// size did not report their loads to each other. At the start 182 of 5,267 requests within 5 s went
 // to engines above twice the mean plus three, where 3% are allowed, and the first two seconds had a
 // 99th percentile of 1.2 s. In the logs of the boxes, about 330 of some 340 such picks went to
 // engines that the box considered idle. They hit 54 of 240 engines, and a third of them hit four:
--- a/internal/balance/netpath.go
+++ b/internal/balance/netpath.go
@@ -130,8 +130,8 @@
 	m.pathTo(member.FailureDomain).recordContact(m.monotonic())
 }
 
-// closeIdleConnections closes the idle connections to a failure domain. A request on a new
-// connection can prove that nothing was sent if the path is partitioned.
+// closeIdleConnections closes the idle connections to a failure domain. A request on a new connection
+// proves, if the path is partitioned, that nothing was sent, because the connection does not open.
 func (m *Manager) closeIdleConnections(name string) {
 	for _, member := range m.byID {
 		if member.FailureDomain == name {
--- a/internal/balance/netpath_test.go
+++ b/internal/balance/netpath_test.go
@@ -47,7 +47,7 @@
 		f.now += maxResponseSilenceMs + 1
 		assert.Empty(t, dueProbes(f))
 	})
-	t.Run("a domain with heartbeats may be silent for one round trip of datagrams longer", func(t *testing.T) {
+	t.Run("a domain with heartbeats is probed when it is silent for longer than the heartbeat interval and a grace", func(t *testing.T) {
 		f := newFixture(t, 6)
 		f.RecordContact("d1")
 		f.now += heartbeatMs + heartbeatGraceMs
@@ -70,7 +70,7 @@
 		f.now++
 		assert.Contains(t, dueProbes(f), "d1")
 	})
-	t.Run("a domain that falls silent after a new contact is probed at the usual interval", func(t *testing.T) {
+	t.Run("a domain that falls silent after a new contact is probed without waiting for the quiet interval", func(t *testing.T) {
 		f := newFixture(t, 6)
 		f.now += 2 * heartbeatMs
 		f.RecordProbe("d1", true)
--- a/internal/balance/permits_test.go
+++ b/internal/balance/permits_test.go
@@ -75,7 +75,7 @@
 		assert.NotEqual(t, first, lease.Member)
 		assert.Equal(t, 1000, first.parts.cachedTokens(lease.shared, f.now))
 	})
-	t.Run("requests only a few permits, and then uses the next engine regardless of its load", func(t *testing.T) {
+	t.Run("after maxPermitRefusals refusals the next engine is used regardless of its load", func(t *testing.T) {
 		f, owner := inLargeFleet(t, 120), &fakeOwner{refusals: maxPermitRefusals}
 		_, err := f.PickWithPermit(sticky("s"), owner.acquire)
 		require.NoError(t, err)
--- a/internal/balance/probes.go
+++ b/internal/balance/probes.go
@@ -47,9 +47,9 @@
 	p.recordContact(m.monotonic())
 }
 
-// Probes returns the probes that are due. HeartbeatMs is the interval at which some box of a
-// failure domain is pinged, by domain. Paused is set if this box itself was paused, so that the
-// silence of others does not indicate a partition.
+// Probes returns the probes that are due. heartbeatMs is the interval at which some box of a failure
+// domain is pinged, by domain. paused is set if this box itself was paused, so that the silence of
+// others does not indicate a partition.
 func (m *Manager) Probes(heartbeatMs map[string]clock.Millis, paused bool) []Probe {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/balance/retryafter.go
+++ b/internal/balance/retryafter.go
@@ -65,8 +65,8 @@
 	r.completionGapMs += completionGapWeight * (float64(gap) - r.completionGapMs)
 }
 
-// schedule assigns the caller a retry time of its own, after all callers with the same or a higher
-// priority, and returns the delay until then.
+// schedule assigns the caller a retry time of its own, after all callers that are as urgent or more
+// urgent (an equal or lower priority number), and returns the delay until then.
 func (r *retrySchedule) schedule(now, earliest clock.Millis, priority int) clock.Millis {
 	r.scheduled = slices.DeleteFunc(r.scheduled, func(other scheduledRetry) bool { return other.dueMs <= now })
 	ahead := 0
--- a/internal/balance/signals_test.go
+++ b/internal/balance/signals_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestBackoff(t *testing.T) {
-	t.Run("an upstream that is backing off receives nothing until the end", func(t *testing.T) {
+	t.Run("an upstream that is backing off receives nothing until the end, and is then the session's first choice again", func(t *testing.T) {
 		f, first := newBackoffFixture(t, 6)
 		l := f.pick(t, sticky("s"))
 		assert.Equal(t, Skipped{Upstream: first.ID, Reason: SkipBackoff}, l.Skipped)
--- a/internal/balance/surge_test.go
+++ b/internal/balance/surge_test.go
@@ -21,8 +21,9 @@
 // mean, where 3% are allowed (290 of 5,792 with an older version). The 87 boxes exchange loads
 // every 1.25 s on average, so each sends the session to the engine that ranks first for it until it
 // learns of the others' requests. Nine boxes, which exchange loads every 0.25 s, keep the bound.
-// The logs show some twenty engines that held 15 to 22 requests while boxes estimated 6 to 11, most
-// of them first in their sessions' order: the cause is unreported load, not a single session.
+// The logs show some twenty engines that held 15 to 22 requests while boxes estimated 6 to 11, and
+// most of these engines rank first for the sessions of those requests: the cause is unreported
+// load, not a single session.
 
 // simulation is a fleet of boxes in front of engines, in which boxes exchange loads in turns.
 type simulation struct {
--- a/internal/bounds/bounds.go
+++ b/internal/bounds/bounds.go
@@ -40,7 +40,8 @@
 // Bound is a recorded measurement and the relative change for the worse that is allowed.
 type Bound struct {
 	Value float64 `json:"value"`
-	// Tolerance is the allowed change for the worse, as a fraction of Value.
+	// Tolerance is the allowed change for the worse, as a fraction of Value. Its JSON name is
+	// part of the bounds file.
 	Tolerance float64 `json:"part"`
 	// HigherIsBetter is set for measurements that must not decrease.
 	HigherIsBetter bool `json:"higher_is_better,omitempty"`
--- a/internal/box/engines.go
+++ b/internal/box/engines.go
@@ -97,8 +97,8 @@
 }
 
 // orderQueue selects the engines to check: those whose row has changed or whose models do not
-// match the table yet, and one other engine per round. This keeps the cost of checking low
-// regardless of the number of engines.
+// match the table yet, and one other engine per round, in rotation, so that every engine is
+// checked eventually. This keeps the cost of checking low regardless of the number of engines.
 type orderQueue struct {
 	converged map[string]*table.Upstream
 	round     int
--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -39,7 +39,7 @@
 	domainFactsTTLMs     = 20 * clock.Second
 	failedPeerBackoffMs  = 5 * clock.Second
 	// remoteContactTTLMs is how long a box of another failure domain is considered live after
-	// its last message.
+	// the last membership update about it.
 	remoteContactTTLMs = 60 * clock.Second
 )
 
@@ -110,7 +110,8 @@
 	b.picker = picker.New(b.pools, b.agent, b.ownerByName, b.clock.Now)
 }
 
-// ownerByName returns the name and address of the box that owns an upstream.
+// ownerByName returns how to reach the box with a name, which owns an upstream. An empty name
+// stands for this box.
 func (b *Box) ownerByName(name string) grant.Owner {
 	if name == b.settings.Box || name == "" {
 		return grant.Owner{Name: name, Self: true}
--- a/internal/box/table.go
+++ b/internal/box/table.go
@@ -61,7 +61,7 @@
 }
 
 // parentRanks returns the ranks from which a rank reads records: none for a reader, otherwise
-// two ranks further up the tree.
+// two adjacent ranks on the level above.
 func parentRanks(rank int) []int {
 	if rank < tableReaders {
 		return nil
--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -163,11 +163,11 @@
 	restarts := b.t.RestartsPerDay / b.t.Boxes / secondsPerDay
 	const kilo, mega = 1000, 1_000_000
 	state := kilo * b.costAt("snapshot: bytes on the log", b.t.Organisations)
-	fold := b.costAt("table: fold one edit", b.t.Organisations) * b.t.EditsPerDay / secondsPerDay
+	applyCost := b.costAt("table: fold one edit", b.t.Organisations) * b.t.EditsPerDay / secondsPerDay
 	return Role{
 		Name: "table: read, relay, cold start", Package: "internal/tablestore, internal/logstream, internal/snapshot",
 		BytesPerSecond: 2*reads*b.t.Calls.TableRead + 2*restarts*state,
-		CorePercent: perSecondPercent(2*reads, b.call) + perSecondPercent(1, fold) +
+		CorePercent: perSecondPercent(2*reads, b.call) + perSecondPercent(1, applyCost) +
 			perSecondPercent(restarts, kilo*b.costAt("cold start: read a snapshot", b.t.Organisations)),
 		MB: 2*b.costAt("table: memory", b.t.Organisations) + state/mega,
 	}
--- a/internal/cmd/gatewaycmd/watcher.go
+++ b/internal/cmd/gatewaycmd/watcher.go
@@ -10,8 +10,9 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// pollInterval is how often the settings file is checked for changes without a signal.
-const pollInterval = 2 * clock.Second
+// pollIntervalMs is how often the settings file is checked for changes, in addition to
+// the checks on SIGHUP.
+const pollIntervalMs = 2 * clock.Second
 
 // watcher applies changes of the settings file to a running box.
 type watcher struct {
@@ -24,7 +25,7 @@
 	// The first read can only fail if the file was removed after startup.
 	w.content, _ = os.ReadFile(w.path)
 	ticks := make(chan struct{})
-	go w.clock.Every(ctx, pollInterval, func(clock.Millis) {
+	go w.clock.Every(ctx, pollIntervalMs, func(clock.Millis) {
 		select {
 		case ticks <- struct{}{}:
 		case <-ctx.Done():
--- a/internal/cmd/operatorcmd/table.go
+++ b/internal/cmd/operatorcmd/table.go
@@ -254,7 +254,7 @@
 	return p.printVerdict(verdict)
 }
 
-// exitUnknown is the exit code of an edit whose verdict is not known.
+// exitCodeVerdictUnknown is the exit code of an edit whose verdict is not known.
 const exitCodeVerdictUnknown = 3
 
 func (p *app) printVerdict(verdict table.Verdict) error {
--- a/internal/cmd/standincmd/standincmd.go
+++ b/internal/cmd/standincmd/standincmd.go
@@ -19,7 +19,7 @@
 	"dooryard.example/dooryard/internal/version"
 )
 
-const headerTimeout = 10 * clock.Second
+const headerTimeoutMs = 10 * clock.Second
 
 // New returns the command. Stand-ins print their listen address to out.
 func New(out io.Writer) *cli.Command {
@@ -94,7 +94,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout.Duration()}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeoutMs.Duration()}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	fmt.Fprintf(out, "%s listens on %s\n", c.Name, listener.Addr())
--- a/internal/decision/log.go
+++ b/internal/decision/log.go
@@ -13,8 +13,8 @@
 
 // Settings bounds the log's output.
 type Settings struct {
-	// MaxLinesPerSecond is the maximum number of lines written per second. Routine
-	// lines may use at most half of it.
+	// MaxLinesPerSecond is the maximum number of lines written in each window of one
+	// second. Routine lines may use at most half of it.
 	MaxLinesPerSecond int
 	// MaxWaiting is the capacity of each of the two event queues (important and routine).
 	MaxWaiting int
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -17,7 +17,7 @@
 // Mechanism is the name of a routing mechanism that can be disabled.
 type Mechanism string
 
-// Mechanisms.
+// Mechanisms. The value is the name on the command line and in reports.
 const (
 	// Sticky is session affinity: requests of a session are routed to the same engine.
 	Sticky Mechanism = "sticky"
@@ -43,7 +43,7 @@
 // Fault is the name of a kind of fault to inject.
 type Fault string
 
-// Faults.
+// Faults. The value is the name on the command line and in reports.
 const (
 	// Crash permanently takes down a third of the engines, which are replaced by new ones.
 	Crash Fault = "crash"
@@ -89,7 +89,7 @@
 	InTime float64 `json:"in_time"`
 	// Served is the fraction of requests that were answered at all.
 	Served float64 `json:"served"`
-	// ReadAgain is the fraction of shared tokens that an engine read although one had read them before.
+	// ReadAgain is the fraction of shared tokens that an engine read although some engine had read them before.
 	ReadAgain float64 `json:"read_again"`
 	// Moved is the fraction of shared tokens that was fetched from another engine.
 	Moved float64 `json:"moved"`
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -237,7 +237,7 @@
 		number, _ := strconv.Atoi(id[1:])
 		return number < count && now >= startMs+overloadStartMs && now < startMs+overloadEndMs
 	}
-	t.Run("half of the upstreams refuse most requests", func(t *testing.T) {
+	t.Run("upstreams get no more requests in a backoff than allowed when half of them refuse most requests", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			a := newSignalingUpstreams(f, 1)
 			startMs := f.clock.Monotonic()
--- a/internal/gateway/box.go
+++ b/internal/gateway/box.go
@@ -168,9 +168,9 @@
 // because the windows in which boxes count retries are not aligned.
 const localBudgetShare = 0.8
 
-// sustainedShare is the part of that share that is available continuously. The rest is saved for bursts, up to
-// what the requests of one window allow. With 87 boxes and 45 of 112 engines crashed, the split raised the score
-// by 0.0032; in another scenario it changed nothing (one paired run each).
+// sustainedShare is the part of that share that is available continuously. The rest is saved for bursts, up to what
+// the requests of one window allow. On a day with 87 boxes and 45 of 112 engines crashed, the split raised the value
+// score by 0.0032; on another day it changed nothing (one paired run each).
 const sustainedShare = 0.6
 
 // retryReserve returns this box's part of the slack until the number of boxes that share it is known.
--- a/internal/gateway/crash_detector.go
+++ b/internal/gateway/crash_detector.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// handleCrash processes the crash of all incarnations of an upstream except its successor, or of all if
-// successor is empty. Recent is set if the upstream crashed a short time ago.
+// handleCrash processes the crash of all incarnations of an upstream except its successor, or of all if successor is
+// empty. recent is set if the upstream crashed a short time ago.
 func (d *crashDetector) handleCrash(id, successor string, recent bool) {
 	list := d.removeSuspects(id, successor, recent)
 	if len(list) == 0 {
@@ -192,7 +192,8 @@
 }
 
 // removeSuspects removes and returns the suspects of all incarnations of an upstream except its successor. Of the
-// abandoned requests it returns only the newest, and only if the crash is recent.
+// abandoned requests it returns only those of the last maxAbandonedAgeMs, and only if the crash is recent; the others
+// are kept while a probe runs, and dropped otherwise.
 func (d *crashDetector) removeSuspects(id, successor string, recent bool) []suspect {
 	now := d.box.clock.Monotonic()
 	d.mu.Lock()
--- a/internal/gateway/freshness_test.go
+++ b/internal/gateway/freshness_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestFreshness(t *testing.T) {
-	t.Run("keys are refused once the routing state was not confirmed for too long", func(t *testing.T) {
+	t.Run("keys are refused once the last confirmation of the routing state is too old", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			t := f.t
 			f.upstream("u1", respondWith("done"))
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -22,9 +22,9 @@
 	defaultLeaveMs = 2000
 	// defaultLoadCap is a common limit on an upstream's load, as a multiple of the mean load.
 	defaultLoadCap = 2
-	// boundShareOfCap is the share of the cap at which a box stops sending to an upstream. The rest covers load
-	// that boxes don't know of each other yet. With 0.825 and one request of slack less, a tenth of all prompts
-	// moved to another engine and were recomputed or transferred needlessly.
+	// boundShareOfCap is the share of the cap at which a box stops sending to an upstream. The rest covers load that
+	// boxes don't know of each other yet. With 0.825 and one request of slack less, a tenth of all prompts moved to
+	// another engine and were prefilled again or transferred needlessly.
 	boundShareOfCap    = 0.9
 	defaultEjectBaseMs = 1000
 	defaultEjectMaxMs  = 8000
--- a/internal/gateway/paths.go
+++ b/internal/gateway/paths.go
@@ -14,8 +14,8 @@
 	// pathCheckIntervalMs is how often the paths to failure domains are checked: half of the shortest silence that
 	// triggers a probe.
 	pathCheckIntervalMs clock.Millis = 50
-	// stallThresholdMs is the delay of a check above which this process itself counts as stalled.
-	stallThresholdMs clock.Millis = 100
+	// checkDelayThresholdMs is the delay of a check above which this process itself counts as paused.
+	checkDelayThresholdMs clock.Millis = 100
 )
 
 // watchPaths probes the paths to failure domains from which nothing was received for some time.
@@ -27,9 +27,9 @@
 		b.pauseDetector.check()
 		b.pauseDetector.pingIfStale()
 		now := b.clock.Monotonic()
-		stalled := now-lastMs > pathCheckIntervalMs+stallThresholdMs
+		paused := now-lastMs > pathCheckIntervalMs+checkDelayThresholdMs
 		lastMs = now
-		for _, probe := range b.balance.Probes(b.peering.mesh.DomainPingIntervals(), stalled) {
+		for _, probe := range b.balance.Probes(b.peering.mesh.DomainPingIntervals(), paused) {
 			probing.Go(func() { b.probe(ctx, probe) })
 		}
 	})
@@ -39,8 +39,8 @@
 func (b *Box) probe(ctx context.Context, probe balance.Probe) {
 	startMs := b.clock.Monotonic()
 	reachable := anyReachable(ctx, probe.Clients)
-	if !reachable && b.clock.Monotonic()-startMs > upstream.HostReachableTimeoutMs+stallThresholdMs {
-		// This process stalled during the probe, so its timeouts prove nothing.
+	if !reachable && b.clock.Monotonic()-startMs > upstream.HostReachableTimeoutMs+checkDelayThresholdMs {
+		// This process was paused during the probe, so its timeouts prove nothing.
 		reachable = anyReachable(ctx, probe.Clients)
 	}
 	if downMs, changed := b.balance.RecordProbe(probe.FailureDomain, reachable); changed {
--- a/internal/gateway/pause_detector.go
+++ b/internal/gateway/pause_detector.go
@@ -15,8 +15,8 @@
 	// maxRefreshWaitMs is how long requests wait after a pause for the box to refresh its state, if the last
 	// confirmation is too old. It covers a few gossip rounds and a read of the store, with a margin. If no refresh
 	// succeeds, requests are processed as they are while the store is unavailable. Meanwhile the box asks its peers
-	// every 50 ms instead of once per round: with all boxes stopped for 2.5 s the worst windows reached 0.54 of their
-	// maximum score, compared to 0.23 with one query per round (one paired run).
+	// every 50 ms instead of once per round: on a day on which all boxes were stopped for 2.5 s, the worst windows
+	// reached 0.54 of their maximum score, compared to 0.23 with one query per round (one paired run).
 	maxRefreshWaitMs clock.Millis = 400
 	// refreshPollMs is how often a waiting request checks for the refresh.
 	refreshPollMs clock.Millis = 20
--- a/internal/gateway/policy_effects_test.go
+++ b/internal/gateway/policy_effects_test.go
@@ -40,7 +40,7 @@
 		assert.InDelta(t, 0.575, servedWhileStoreUnavailable(t, func(*config.Gateway) {}), 0.001)
 		assert.InDelta(t, 1.0, servedWhileStoreUnavailable(t, withoutMaxAge), 0.001)
 	})
-	t.Run("requests delayed by connections across a 3 s partition: 3 before the policy, 1 with it", func(t *testing.T) {
+	t.Run("requests that wait for connections to a domain behind a 3 s partition: 3 before the policy, 1 with it", func(t *testing.T) {
 		assert.Equal(t, 1, delayedByPartition(t))
 	})
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -174,7 +174,7 @@
 			assert.LessOrEqual(f.t, a.lateSends(), maxLateSends)
 		})
 	})
-	t.Run("is refused with Retry-After and without being sent", func(t *testing.T) {
+	t.Run("is refused immediately with Retry-After and without being sent", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			a := newCrashRecorder(f, 8)
 			b := f.box(1)
@@ -302,7 +302,7 @@
 }
 
 // TestNotFatal guards against quarantining harmless requests, whose connections break without a crash or because of a
-// crash that another request caused.
+// crash that another request caused. They must still be served.
 func TestNotFatal(t *testing.T) {
 	t.Run("connections are reset while the upstreams stay alive", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -53,7 +53,7 @@
 		screen:    screen.New(b.quarantine.QuarantineRemainingMs),
 		dispatch: dispatch.New(dispatch.Dependencies{
 			Pick: b.pick, MayRetry: b.budgets.Take, OnFirstSend: b.budgets.First,
-			StateAgeMs: b.routingState.AgeMs, RecordEvent: b.log.Record, OnPrefill: b.metrics.PromptTokensRead,
+			StateAgeMs: b.routingState.AgeMs, RecordEvent: b.log.Record, OnPrefill: b.metrics.PromptTokensPrefilled,
 			RetryAfter: b.balance.RetryAfterMs, OnSignals: b.handleSignals, Observe: b.crashDetector.observe,
 			OnCompleted: b.crashDetector.handleCompleted, QuarantineRemainingMs: b.quarantine.QuarantineRemainingMs,
 			CheckBeforeSend: b.checkBeforeSend, Clock: b.clock,
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -20,10 +20,10 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// The tests of this file guard against decisions on stale state after a machine was suspended for seconds. A clock, and
-// the timers that wait on it, that do not count the suspension make confirmations of keys and versions look recent,
-// deadlines look distant and other boxes look gone, and requests are sent on decisions from before. In these tests a
-// suspension advances the boxes' clock at once, while the timers on the fake clock keep waiting.
+// The tests of this file guard against decisions on stale state after a machine was suspended for seconds. If the clock
+// and its timers do not count the suspension, confirmations of keys and versions look recent, deadlines look distant
+// and other boxes look gone, and requests are sent on decisions from before. In these tests a suspension advances the
+// boxes' clock at once, while the timers on the fake clock keep waiting.
 
 // suspendedMs is the length of the suspension.
 const suspendedMs = 10 * clock.Second
@@ -180,8 +180,8 @@
 	})
 }
 
-// TestSlowBox guards against other boxes that never expire on a machine that is slow all the time, where each check is
-// late.
+// TestSlowBox guards against boxes that have left but never expire, on a machine that is slow all the time, where each
+// check is late.
 func TestSlowBox(t *testing.T) {
 	runWithFleet(t, func(f *fleet) {
 		first := f.boxes(2)[0]
--- a/internal/gateway/timing.go
+++ b/internal/gateway/timing.go
@@ -28,7 +28,7 @@
 	periodsInSlack = 6
 	// maxPollMs is the longest wait of a long-polling read. Longer waits save reads of the few boxes that read for
 	// others, but delay confirmations so much that all boxes read directly whenever a large version is in transit: a
-	// run with 87 boxes made 1,712 calls with waits of 2 s and 1,390 with 1 s.
+	// simulated day with 87 boxes made 1,712 calls with waits of 2 s and 1,390 with 1 s.
 	maxPollMs clock.Millis = 1000
 	// maxRemovalGraceMs is how long an entry may stay missing after its store was unavailable. Upstreams rewrite their
 	// entries within about two seconds of the recovery.
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -14,7 +14,7 @@
 	"dooryard.example/dooryard/pkg/config"
 )
 
-// Deployment describes a deployment of the users at its current size.
+// Deployment describes one of the users' deployments, at its current size.
 type Deployment struct {
 	Name             string
 	Domains          []string
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -132,7 +132,8 @@
 	return result
 }
 
-// Breach is a violated guarantee and the number of its violations.
+// Breach is a violated guarantee and the number of its violations. The JSON names are part of the printed result and
+// must not change.
 type Breach struct {
 	Description string `json:"promise"`
 	Count       int    `json:"count"`
--- a/internal/membership/domains.go
+++ b/internal/membership/domains.go
@@ -7,7 +7,7 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// foreignBox is a box of another failure domain that exchanged messages with this one.
+// foreignBox is a box of another failure domain of which this box received an update.
 type foreignBox struct {
 	Box
 	lastSeenMs clock.Millis
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -186,8 +186,9 @@
 	return out
 }
 
-// nextTarget alternates between the live box with the next higher ID and a traversal of all boxes
-// in random order. As all boxes do so, each box is pinged by its predecessor every other period.
+// nextTarget alternates between the live box with the next higher ID (the lowest ID after the
+// highest) and a traversal of all boxes in random order. As all boxes do so, each box is pinged by
+// its predecessor every other period.
 func (n *Node) nextTarget() (ID, bool) {
 	if n.period%2 == 0 {
 		if id, found := n.successor(); found {
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -248,7 +248,7 @@
 }
 
 func TestFacts(t *testing.T) {
-	t.Run("spread through a domain of 90 boxes", func(t *testing.T) {
+	t.Run("of at least 85 boxes reach every box of a domain of 90 within 90 s", func(t *testing.T) {
 		d := newDomain(t, 90)
 		d.run(90 * clock.Second)
 		for _, node := range d.nodes {
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -37,9 +37,9 @@
 	largeFleetBoxes = 128
 	largeFanout     = 3
 	aliveCycles     = 3
-	// minFanout is how many boxes are pinged per round, in addition to the store reader of the
-	// failure domain. A larger fleet is pinged within roundsPerCycle rounds, with at most maxFanout
-	// boxes per round.
+	// minFanout is how many boxes are pinged per round, in addition to the store readers of the failure
+	// domain. A larger fleet is pinged within roundsPerCycle rounds, with at most maxFanout boxes per
+	// round.
 	minFanout      = 6
 	maxFanout      = 32
 	roundsPerCycle = 10
@@ -48,8 +48,8 @@
 	// box, so that boxes that forgot each other during a long partition find each other again.
 	newPeerSample    = 16
 	repliesPerSample = 16
-	// maxAnnouncements limits the prompt parts that a datagram names, at 11 bytes each. It exceeds
-	// the number of parts that a box's engines process while the box misses a cycle.
+	// maxAnnouncements limits the prompt parts that a datagram names, at 11 bytes each. It exceeds the
+	// number of parts that one box's requests put into engine caches during a missed cycle.
 	maxAnnouncements = 64
 	// maxCrashEvents limits the upstream crashes that a datagram reports, at 16 bytes each.
 	// maxCrashEventsLarge applies in a large fleet, where a box sends and answers about seven datagrams
@@ -225,7 +225,7 @@
 // Ping sends pings immediately, in addition to the periodic rounds.
 func (m *Mesh) Ping() { m.round() }
 
-// round pings the store reader of the failure domain and a few other boxes.
+// round pings the store readers of the failure domain and a few other boxes.
 func (m *Mesh) round() {
 	now := m.clock.Monotonic()
 	p := m.packet(typePing, now)
--- a/internal/mesh/packet.go
+++ b/internal/mesh/packet.go
@@ -85,8 +85,8 @@
 	InFlightByPool map[namekey.Key]int `cbor:"12,keyasint,omitempty"`
 }
 
-// maxPacketBytes is the size of the receive buffer. Datagrams are kept small enough not to be
-// fragmented on common links, as far as their content allows.
+// maxPacketBytes is the size of the receive buffer. The limits on cached parts, crashes and named boxes
+// keep most datagrams small enough not to be fragmented on common links.
 const maxPacketBytes = 8 << 10
 
 func (p *packet) encode() ([]byte, error) {
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -19,9 +19,9 @@
 
 // Limits of a call.
 const (
-	maxEditBytes               = 4 << 20
-	submitTimeout              = 15 * clock.Second
-	maxOffsetWait clock.Millis = 30_000
+	maxEditBytes                 = 4 << 20
+	submitTimeoutMs              = 15 * clock.Second
+	maxOffsetWaitMs clock.Millis = 30_000
 )
 
 // Dependencies are the parts of a box that the handler uses.
@@ -128,7 +128,7 @@
 		apierror.New(http.StatusBadRequest, "bad_edit", err.Error()).Write(w)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), submitTimeout.Duration())
+	ctx, cancel := context.WithTimeout(r.Context(), submitTimeoutMs.Duration())
 	defer cancel()
 	verdict, err := h.deps.Store.Submit(ctx, edit)
 	switch {
@@ -170,7 +170,7 @@
 		apierror.New(http.StatusBadRequest, "bad_offset", "offset: must be a whole number").Write(w)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), maxOffsetWait.Duration())
+	ctx, cancel := context.WithTimeout(r.Context(), maxOffsetWaitMs.Duration())
 	defer cancel()
 	if err := h.deps.Store.WaitFor(ctx, offset); err != nil {
 		apierror.New(http.StatusGatewayTimeout, "not_reached", err.Error()).Write(w)
--- a/internal/pipe/authorise/authorise.go
+++ b/internal/pipe/authorise/authorise.go
@@ -10,7 +10,7 @@
 )
 
 // staleRetryMs is the Retry-After of requests refused for a stale routing state: the time for the
-// load balancer in front to switch to another box, or for a source of routing state to recover.
+// front load balancer to switch to another box, or for a source of routing state to recover.
 const staleRetryMs clock.Millis = 500
 
 // Pipe authorises requests by their API key.
--- a/internal/pipe/dispatch/attempt.go
+++ b/internal/pipe/dispatch/attempt.go
@@ -25,9 +25,9 @@
 	errPathDown      = errors.New("failure domain is unreachable")
 )
 
-// firstByteTimeoutFactor times the latency objective of the route is the time limit for response
-// headers while the request may still be retried. Without these retries, days with hanging
-// upstreams score 0.0024 lower (six paired runs, standard error 0.0012).
+// firstByteTimeoutFactor is the time limit for response headers as a multiple of the route's latency
+// objective, while the request may still be retried. Without these retries, the value score of days
+// with hanging upstreams is lower by 0.0024 of its maximum (six paired runs, standard error 0.0012).
 const firstByteTimeoutFactor = 2
 
 // attempt sends the request to one upstream. It returns nil if the caller has the complete
@@ -88,9 +88,10 @@
 }
 
 // cancelOnPathLoss cancels an attempt when the network path to the upstream's failure domain is
-// found to be down, if the request may be retried. A resumable stream then pauses for 0.2 s to
-// 0.4 s instead of the full idle timeout of three times its longest acceptable pause. On days with
-// a network partition this raises the score by 0.0010 (twelve paired runs, standard error 0.0005).
+// found to be down, if the request may be retried. A resumable stream then pauses for 0.2 s to 0.4 s
+// instead of the full idle timeout of three times its longest acceptable pause. On days with a
+// network partition this raises the value score by 0.0010 of its maximum (twelve paired runs,
+// standard error 0.0005).
 func (s *retryLoop) cancelOnPathLoss(lease *balance.Lease, cancel context.CancelCauseFunc) {
 	r := s.request
 	if r.Route.Repeatable() && r.Sent+1 < r.Route.Attempts {
--- a/internal/pipe/dispatch/dispatch.go
+++ b/internal/pipe/dispatch/dispatch.go
@@ -19,7 +19,8 @@
 type Dependencies struct {
 	// Pick selects an upstream and counts the request in its load.
 	Pick func(ctx context.Context, a balance.PickRequest) (*balance.Lease, error)
-	// MayRetry takes one retry from the retry budget of a pool and reports whether there was one.
+	// MayRetry takes one retry from the pool's retry budget. It returns false if the budget is used
+	// up.
 	MayRetry func(pool string) bool
 	// OnFirstSend counts the first attempt of a request in the retry budget of a pool.
 	OnFirstSend func(pool string)
--- a/internal/pipe/dispatch/stream.go
+++ b/internal/pipe/dispatch/stream.go
@@ -40,8 +40,8 @@
 // resumable reports whether another upstream may continue the stream.
 func (t *stream) resumable() bool { return t.completeOnly && (t.lastID != "" || !t.dataSent) }
 
-// streamIdleTimeoutFactor times the longest acceptable pause of the route is the idle time after
-// which another upstream continues a stream.
+// streamIdleTimeoutFactor is the idle time after which another upstream continues a stream, as a
+// multiple of the route's longest acceptable pause.
 const streamIdleTimeoutFactor = 3
 
 // startIdleTimeout cancels an attempt whose stream is idle for too long while another upstream may
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -29,7 +29,9 @@
 type Fleet struct {
 	// Boxes lists the live boxes of this failure domain, including this one.
 	Boxes []string
-	// Draining holds the names of upstreams that are about to shut down.
+	// Draining holds the names of upstreams that are about to shut down according to the membership
+	// state. The draining column of a row in the table and an engine's own report are separate
+	// sources.
 	Draining map[string]bool
 }
 
@@ -66,8 +68,8 @@
 	position int
 }
 
-// closed reports whether the upstream accepts no new work of the pool, because it is draining or
-// draining or no longer has the pool's model loaded.
+// closed reports whether the upstream accepts no new work of the pool, because its own report or its
+// row says that it is draining, or it no longer has the pool's model loaded.
 func (p place) closed() bool {
 	u := p.pool.members[p.position]
 	if u.draining || u.row.Draining {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -99,8 +99,8 @@
 	journal journal
 	// synced is set once a complete list of the upstreams has been applied.
 	synced bool
-	// upToDateMs is when this box last applied newer changes, or learned that there are none
-	// after its position.
+	// upToDateMs is when changes were last passed to Apply, or when this box last learned that there
+	// are none after its position.
 	upToDateMs clock.Millis
 	onChange   func()
 }
--- a/internal/registry/restored.go
+++ b/internal/registry/restored.go
@@ -38,8 +38,9 @@
 }
 
 // afterStaleRecord returns the entry after an older record was read at a new position. A
-// removed upstream that stays listed is alive, but it writes only changes, so the stale record
-// is kept for later.
+// removed upstream may turn out to be alive: it writes only changes, so it may not write
+// again. The stale record is kept, and accepted if the store still lists it after
+// staleRecordMs.
 func (e entry) afterStaleRecord(c Change, now clock.Millis) entry {
 	e.position, e.copied = c.Position, true
 	if e.tombstone {
--- a/internal/relay/encode.go
+++ b/internal/relay/encode.go
@@ -23,7 +23,7 @@
 }
 
 // replyCache encodes replies and caches the newest ones. After a change all boxes of a failure
-// domain send the same request within tens of milliseconds, possibly to a box with a fifth of a
+// domain send the same request within about ten milliseconds, possibly to a box with a fifth of a
 // core and 10 Mbit/s. Without the cache and the compression, which makes a reply ten times smaller,
 // the last of 18 boxes received a state with 250 routes only after 1.2 to 1.6 s.
 type replyCache struct {
--- a/internal/route/policies.go
+++ b/internal/route/policies.go
@@ -9,7 +9,7 @@
 	PolicyRendezvous      = "rendezvous"
 	PolicyRendezvousBound = "rendezvous-own-bound"
 	// PolicyGrants asks the boxes that own the engines for slots. Package picker implements it.
-	// Services other than chat use PolicyRendezvousBound instead.
+	// Without grants, and for services other than engines, PolicyRendezvousBound is used instead.
 	PolicyGrants = "grants"
 )
 
--- a/internal/route/score.go
+++ b/internal/route/score.go
@@ -58,8 +58,8 @@
 }
 
 // Score returns the score of a member for a key in unweighted rendezvous hashing. First and Rank
-// prefer the smallest score. Callers that compare scores themselves may prefer the largest one, if
-// all boxes do the same.
+// prefer the smallest score. Package mesh chooses the owner with the largest score; all boxes must
+// use the same order.
 func Score(key Key, member uint64) uint64 { return mix(uint64(key) ^ member) }
 
 // mix spreads the bits of a combined hash. It is the finalizer of splitmix64.
--- a/internal/routebench/run.go
+++ b/internal/routebench/run.go
@@ -23,7 +23,8 @@
 	warmupDivisor   = 6
 	thirds          = 3
 	maxSessionTries = 8
-	sessionRatio    = 4
+	// sessionRatio is the number of surge sessions per request in flight.
+	sessionRatio = 4
 )
 
 // run is the state of one run.
--- a/internal/routing/state_tracker.go
+++ b/internal/routing/state_tracker.go
@@ -66,9 +66,10 @@
 	return 0
 }
 
-// Adopt makes a state reported by the store in an era the current one, unless the current one
-// is at least as new. It reports whether the current state was replaced. A version lower than
-// the current one is ignored, even after the store was restored from an older copy.
+// Adopt makes a state reported by the store in an era the current one, unless the current one is
+// at least as new. If the version is the current one, only its era is raised, which does not count
+// as a replacement. It reports whether the current state was replaced. A version lower than the
+// current one is ignored, even after the store was restored from an older copy.
 func (t *StateTracker) Adopt(s *State, era int64) bool {
 	for {
 		old := t.adopted.Load()
@@ -86,8 +87,9 @@
 	}
 }
 
-// ObserveEra records an era of the store. If the store has been restored from an older copy since
-// the last call, it returns the previous era and true.
+// ObserveEra records an era of the store. If the era is newer than the newest one observed so far,
+// the store has been restored from an older copy, and it returns that previous era and true. For
+// the first era it returns false.
 func (t *StateTracker) ObserveEra(era int64) (before int64, restored bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// get returns the key pair. It reloads the files if the last check is older than
+// get returns the key pair. It reads the files again if the last read is older than
 // certificateCheckInterval. If the files do not match, as during an update, the
 // previous pair stays in use.
 func (c *certificateReloader) get(*tls.ClientHelloInfo) (*tls.Certificate, error) {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -15,7 +15,8 @@
 	name string
 	// begin starts the fault and returns a function that ends it.
 	begin func(f *fleet) (end func(f *fleet) error, err error)
-	// fleetWide is set if the fault affects all boxes at once.
+	// fleetWide is set if the fault affects all boxes at once and is therefore left out of
+	// timed runs. The restore of the store is not marked, although it disturbs all boxes, too.
 	fleetWide bool
 }
 
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -38,8 +38,8 @@
 	Servers int
 	Clients int
 	Span    time.Duration
-	// Timed also checks time bounds, and omits the faults that affect all boxes at once. It
-	// needs a machine that is otherwise idle.
+	// Timed also checks time bounds. It omits the faults that are marked fleetWide, so that most
+	// boxes are undisturbed most of the time. It needs a machine that is otherwise idle.
 	Timed bool
 }
 
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -130,7 +130,7 @@
 			assert.Len(t, h.check(), c.found)
 		})
 	}
-	t.Run("is not checked in runs without time bounds", func(t *testing.T) {
+	t.Run("is not checked in runs without time bounds, whose machine may be slow", func(t *testing.T) {
 		h, o, run := successfulRequest(standin.Safe)
 		startAfterDraining(h, run, late)
 		h.timed = false
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -15,7 +15,7 @@
 // linkFault is a network fault of a link.
 type linkFault string
 
-// Faults of a link.
+// Faults of a link. The value is the name on the command line and in reports.
 const (
 	linkHealthy linkFault = ""
 	linkDelayed linkFault = "delayed"
--- a/internal/soak/response_signals.go
+++ b/internal/soak/response_signals.go
@@ -17,7 +17,8 @@
 	// maxBackoffMs is the longest backoff that a server requests.
 	maxBackoffMs = 4000
 	// backoffGrace is how long after a server requested backoff requests may still reach it.
-	// maxSendsInBackoff is how many may reach it in the remaining backoff period.
+	// maxSendsInBackoff is how many requests may reach it after backoffGrace until the backoff
+	// ends.
 	backoffGrace      = 500 * time.Millisecond
 	maxSendsInBackoff = 2
 )
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// from returns the events with at least the given sequence number that existed at the time
-// visible.
+// from returns the events with at least the given sequence number that were recorded no
+// later than the time visible.
 func (c *cacheEvents) from(sequence int64, visible clock.Millis) []engine.CacheEvent {
 	found := []engine.CacheEvent{}
 	for _, event := range c.events {
--- a/internal/table/encode.go
+++ b/internal/table/encode.go
@@ -8,7 +8,8 @@
 )
 
 // encodedState is the JSON form of a State. encoding/json sorts the keys of maps,
-// so equal states have equal encodings.
+// so equal states have equal encodings. The JSON names are part of the snapshot
+// format and must not change.
 type encodedState struct {
 	Offset           int64                        `json:"offset"`
 	Columns          map[string][]string          `json:"columns"`
--- a/internal/table/state.go
+++ b/internal/table/state.go
@@ -131,10 +131,10 @@
 	return slices.Sorted(maps.Keys(s.sheets[sheetName]))
 }
 
-// Apply applies the log record at an offset and returns the resulting state. A
-// malformed record, a duplicate of an edit and an edit that is not accepted leave
-// the cells unchanged. The verdict has an empty ID if the record is malformed or
-// a duplicate.
+// Apply applies the log record at an offset and returns the resulting state. Every
+// record advances the offset. A malformed record, a duplicate of an edit and an
+// edit that is not accepted leave the cells unchanged. The verdict has an empty ID
+// if the record is malformed or a duplicate.
 func (s *State) Apply(offset int64, record []byte) (*State, Verdict) {
 	next := *s
 	next.offset = offset + 1
--- a/internal/testlib/network.go
+++ b/internal/testlib/network.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// SetSilent silently drops traffic in the directions for which the function returns true: writes appear to succeed,
-// connections don't open, and datagrams are dropped.
+// SetSilent silently drops traffic in the directions for which the function returns true: writes appear to succeed, and
+// datagrams are dropped. Connections don't open if either direction is dropped.
 func (n *Network) SetSilent(blackholed func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -39,8 +39,8 @@
 
 // Timeouts and limits of a client.
 const (
-	// connectTimeoutMs is fifty round trips between failure domains, and too short for callers to
-	// notice.
+	// connectTimeoutMs is the time of about fifty round trips between failure domains, and too short
+	// for callers to notice.
 	connectTimeoutMs = 200
 	// unackedTimeoutMs is how long sent bytes may remain unacknowledged. It tolerates the loss of
 	// two consecutive packets.
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -96,8 +96,9 @@
 	return nil
 }
 
-// sendError classifies a write error. Only a write of zero bytes proves that nothing was sent. After
-// a partial write, the upstream may even have responded before it closed the connection.
+// sendError classifies a write error. Only a write of zero bytes proves that nothing was sent. After a
+// partial write the error wraps ErrBroken, because the upstream may have run the request or even
+// responded before it closed the connection.
 func (rt *roundTrip) sendError(n int, err error) error {
 	switch {
 	case err == nil:
--- a/internal/why/why.go
+++ b/internal/why/why.go
@@ -27,7 +27,7 @@
 	raw    []byte
 }
 
-// maxLineBytes bounds one log line; boxes write no longer ones.
+// maxLineBytes is the maximum length of a log line. Boxes don't write longer lines.
 const maxLineBytes = 1 << 20
 
 // Read appends the lines of a log. It ignores text before a line's first brace, such as a
--- a/pkg/config/config.go
+++ b/pkg/config/config.go
@@ -41,8 +41,8 @@
 	TLS     TLS    `yaml:"tls"`
 }
 
-// TLS names certificate files, which are reloaded when they change. An empty value means
-// plain HTTP.
+// TLS names certificate files, which are read again regularly, so that changes apply without a
+// restart. An empty value means plain HTTP.
 type TLS struct {
 	CertificateFile string `yaml:"certificate_file"`
 	KeyFile         string `yaml:"key_file"`
--- a/pkg/config/gateway.go
+++ b/pkg/config/gateway.go
@@ -55,9 +55,9 @@
 // Freshness bounds how long a routing state is trusted.
 type Freshness struct {
 	// MaxAgeMs is the maximum age of the last confirmation of the state by which keys are
-	// accepted. 0 means no limit, so that callers are served while the store does not
-	// respond: in simulated days with 8 s of such silence 0.840 of the value is earned,
-	// against 0.755 with a limit of 5 s (means of three paired days, standard error 0.005).
+	// accepted. 0 means no limit, so that callers are served while the store does not respond:
+	// on days with 8 s of such silence 0.840 of the value is earned, against 0.755 with a limit
+	// of 5 s (means of three paired days, standard error 0.005).
 	MaxAgeMs int64 `yaml:"max_age_ms"`
 	// InForceMs is the time within which a version accepted by the store must be active on
 	// every box. If the last confirmation is older, a box may have missed a version: it asks
