--- a/internal/backing/backing.go
+++ b/internal/backing/backing.go
@@ -20,9 +20,9 @@
 	// ErrUnavailable means that it is unknown whether the call had an effect: the
 	// platform may be down or slow, or its reply may have been lost.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrRefused means that the platform rejected the call and changed nothing.
-	ErrRefused = errors.New("platform rejected the call")
-	// ErrThrottled means that the call exceeded a rate limit. It always comes with ErrRefused.
+	// ErrRejected means that the platform rejected the call and changed nothing.
+	ErrRejected = errors.New("platform rejected the call")
+	// ErrThrottled means that the call exceeded a rate limit. It always comes with ErrRejected.
 	ErrThrottled = errors.New("platform rate limit exceeded")
 	// ErrExpired means that the requested records are past retention.
 	ErrExpired = errors.New("log records past retention")
@@ -62,9 +62,8 @@
 	Client *http.Client
 }
 
-// Append atomically appends the records to a stream and returns the offset of the
-// first. After ErrRefused, nothing was appended. After ErrUnavailable, the records
-// may or may not have been appended.
+// Append atomically appends the records to a stream and returns the offset of the first. After
+// ErrRejected, nothing was appended. After ErrUnavailable, the records may or may not have been appended.
 func (l Log) Append(ctx context.Context, stream string, records ...json.RawMessage) (int64, error) {
 	body, err := json.Marshal(AppendRequest{Records: records})
 	if err != nil {
@@ -120,8 +119,8 @@
 	Client *http.Client
 }
 
-// DatedList is a list with its version, the entity tag assigned by the platform.
-type DatedList struct {
+// VersionedList is a list with its version, the entity tag assigned by the platform.
+type VersionedList struct {
 	BoxListReply
 	version string
 }
@@ -129,12 +128,12 @@
 // Get returns the platform's current list of one failure domain, or of all failure
 // domains if domain is empty. The list may lag by seconds. It makes a conditional
 // request, so that an unchanged list costs few bytes and known is returned.
-func (b BoxList) Get(ctx context.Context, domain string, known DatedList) (DatedList, error) {
+func (b BoxList) Get(ctx context.Context, domain string, known VersionedList) (VersionedList, error) {
 	header := http.Header{}
 	if known.version != "" {
 		header.Set("If-None-Match", known.version)
 	}
-	var list DatedList
+	var list VersionedList
 	reply, err := roundTrip(ctx, jsonhttp.Call{
 		Client: b.Client, Method: http.MethodGet, URL: b.URL + "/v1/boxes?failure_domain=" + domain, Header: header,
 	}, &list.BoxListReply)
@@ -189,9 +188,9 @@
 	case status < http.StatusMultipleChoices || status == http.StatusNotModified:
 		return nil
 	case status == http.StatusTooManyRequests:
-		return fmt.Errorf("%w: %w", ErrRefused, ErrThrottled)
+		return fmt.Errorf("%w: %w", ErrRejected, ErrThrottled)
 	case status < http.StatusInternalServerError:
-		return fmt.Errorf("%w: status %d", ErrRefused, status)
+		return fmt.Errorf("%w: status %d", ErrRejected, status)
 	default:
 		return fmt.Errorf("%w: status %d", ErrUnavailable, status)
 	}
--- a/internal/bounds/bounds.go
+++ b/internal/bounds/bounds.go
@@ -59,7 +59,7 @@
 func Measure() (map[string]float64, error) {
 	values := map[string]float64{
 		"grants: bytes of an ask and its reply": float64(grant.WireSizes().Ask + grant.WireSizes().Reply),
-		"grants: bytes of a hold":               float64(grant.WireSizes().Hold),
+		"grants: bytes of a hold":               float64(grant.WireSizes().InFlight),
 		"claims: bytes of a claim and its end":  float64(capacity.ClaimBytes()),
 		"forward: allocations of an attempt":    forwardAllocations(),
 	}
--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -233,7 +233,7 @@
 			b.updateSlots()
 			b.pools.Refresh()
 			b.picker.Refresh()
-			b.admit.Poke()
+			b.admit.AdmitWaiting()
 		})
 	})
 }
--- a/internal/box/build.go
+++ b/internal/box/build.go
@@ -84,7 +84,7 @@
 // buildState builds the state shared by the pipeline steps: the table, the limits and the
 // clients for the platform and for peers.
 func (b *Box) buildState(context.Context) error {
-	config.Fill(&b.settings.Platform.TimeoutMs, defaultPlatformTimeoutMs)
+	config.SetDefault(&b.settings.Platform.TimeoutMs, defaultPlatformTimeoutMs)
 	client := b.controlClient(func() string { return "" })
 	b.peers = peers.Client{Client: b.controlClient(b.keys.peers.Current), Scheme: b.peerScheme()}
 	b.log = backing.Log{URL: b.settings.Platform.LogURL, Client: client}
@@ -93,16 +93,16 @@
 	b.engineHTTP = b.newEngineHTTP()
 	b.fleet = newFleetView()
 	b.store = tablestore.New(b.append,
-		tablestore.WithClock(b.clock), tablestore.WithLogger(b.logger), tablestore.WithVerdicts(b.countVerdict))
+		tablestore.WithClock(b.clock), tablestore.WithLogger(b.logger), tablestore.WithVerdictCallback(b.countVerdict))
 	b.organisations = limit.NewOrganisations(b.share, b.clock.Now)
-	b.follower = logstream.NewFollower(b.tableSources, b.store.Record,
+	b.follower = logstream.NewFollower(b.tableSources, b.store.ApplyRecord,
 		logstream.WithClock(b.clock), logstream.WithLogger(b.logger), logstream.WithExpired(b.recoverTable))
 	return nil
 }
 
 // controlClient returns an HTTP client for the platform or for peers.
 func (b *Box) controlClient(key func() string) *http.Client {
-	return transport.Control(transport.Settings{
+	return transport.NewControlClient(transport.Settings{
 		ConnectTimeoutMs: clock.Millis(b.settings.Platform.TimeoutMs),
 		IdleTimeoutMs:    60 * clock.Second,
 		MaxIdlePerHost:   8,
@@ -156,7 +156,7 @@
 	}, b.forwardClaim, b.clock, b.logger)
 	b.store.OnChange(func(state *table.State) {
 		b.pools.SetTable(state)
-		b.admit.Poke()
+		b.admit.AdmitWaiting()
 	})
 	return nil
 }
@@ -186,7 +186,7 @@
 	})
 	peersHandler := http.NewServeMux()
 	b.callers.PeerRoutes(peersHandler)
-	peers.Routes(peersHandler, peers.Dependencies{Store: b.store, Claim: b.claims.ClaimHere, Submit: b.claims.SubmitHere})
+	peers.Routes(peersHandler, peers.Dependencies{Store: b.store, Claim: b.claims.ClaimLocal, Submit: b.claims.SubmitLocal})
 	operatorsHandler := operators.New(operators.Dependencies{
 		Store: b.store, Pools: b.pools, Status: func() any { return b.Status() }, Drain: b.Drain, Metrics: b.metrics,
 	})
--- a/internal/box/demand.go
+++ b/internal/box/demand.go
@@ -88,7 +88,7 @@
 	base, sources := b.fleetDemand()
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
-	b.fleet.evenShare = limit.Demand{Boxes: base.Boxes}.Part()
+	b.fleet.evenShare = limit.Demand{Boxes: base.Boxes}.Fraction()
 	clear(b.fleet.shares)
 	for name, rate := range b.fleet.demand {
 		demand := base
@@ -97,17 +97,17 @@
 		for _, facts := range sources {
 			demand.Others += float64(demandOf(facts, id))
 		}
-		b.fleet.shares[name] = demand.Part()
+		b.fleet.shares[name] = demand.Fraction()
 	}
 }
 
 // updateSlots computes this box's share of the engines' slots from the running and waiting
 // requests of the boxes in this failure domain.
 func (b *Box) updateSlots() {
-	running, waiting := b.admit.Lengths()
+	running, waiting := b.admit.QueueLengths()
 	slots := limit.Slots{Own: float64(running + waiting), Boxes: len(b.gossip.Live())}
 	for _, facts := range b.gossip.FactsOf() {
-		slots.Heard++
+		slots.KnownBoxes++
 		slots.Others += float64(facts.InFlight)
 	}
 	b.pools.SetSlots(slots)
@@ -119,7 +119,7 @@
 	base.Boxes = 1
 	for _, facts := range b.gossip.FactsOf() {
 		base.Boxes++
-		base.Heard++
+		base.KnownBoxes++
 		sources = append(sources, facts)
 	}
 	sums := b.gossip.DomainFacts(domainFactsTTLMs)
@@ -130,7 +130,7 @@
 			continue
 		}
 		base.Boxes += int(facts.Boxes)
-		base.Heard += int(facts.Boxes)
+		base.KnownBoxes += int(facts.Boxes)
 		sources = append(sources, facts)
 	}
 	return base, sources
@@ -167,7 +167,7 @@
 		for _, listed := range remotes {
 			if sent[listed.FailureDomain] < sumsFanout {
 				sent[listed.FailureDomain]++
-				b.gossip.TellSums(listed.GossipAddress, membership.NewID(b.settings.FailureDomain), sums)
+				b.gossip.SendDomainFacts(listed.GossipAddress, membership.NewID(b.settings.FailureDomain), sums)
 			}
 		}
 	})
--- a/internal/box/engines.go
+++ b/internal/box/engines.go
@@ -54,7 +54,7 @@
 		for _, row := range b.pools.Owned() {
 			b.pollEngine(ctx, row)
 		}
-		b.admit.Poke()
+		b.admit.AdmitWaiting()
 	})
 }
 
@@ -135,7 +135,7 @@
 		return false
 	}
 	order, needed := placement.Decide(row, state, placement.Lease{
-		Token: held.Token, UntilMs: held.UntilMs, SinceMs: held.SinceMs, SpanMs: lease.SpanMs,
+		Token: held.Token, UntilMs: held.UntilMs, SinceMs: held.SinceMs, DurationMs: lease.DurationMs,
 	}, b.clock.Now())
 	if !needed {
 		return placement.Settled(row, state)
@@ -146,7 +146,7 @@
 	order.ID = ulid.Make().String()
 	// The connection checks the clock once more right before it writes, so that a holder that
 	// was paused sends nothing under an expired lease.
-	err = client.Order(transport.SendBefore(ctx, b.clock, held.UntilMs), order)
+	err = client.Order(transport.WithSendDeadline(ctx, b.clock, held.UntilMs), order)
 	b.countOrder(row, order, err)
 	return false
 }
--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -47,7 +47,7 @@
 // protected by mu.
 type fleetView struct {
 	mu    sync.Mutex
-	lists map[string]backing.DatedList
+	lists map[string]backing.VersionedList
 	// polls counts the polls at which another failure domain could be polled.
 	polls  int
 	failed map[string]clock.Millis
@@ -62,7 +62,7 @@
 
 func newFleetView() *fleetView {
 	return &fleetView{
-		lists: map[string]backing.DatedList{}, failed: map[string]clock.Millis{},
+		lists: map[string]backing.VersionedList{}, failed: map[string]clock.Millis{},
 		drainingUpstreams: map[string]bool{}, demand: map[string]float64{}, shares: map[string]float64{}, evenShare: 1,
 	}
 }
@@ -70,7 +70,7 @@
 // openPeering opens the UDP socket that the boxes of a failure domain use for gossip and for
 // requesting slots from each other.
 func (b *Box) openPeering(context.Context) error {
-	config.Fill(&b.settings.Peers.PeriodMs, defaultGossipPeriodMs)
+	config.SetDefault(&b.settings.Peers.PeriodMs, defaultGossipPeriodMs)
 	conn, err := b.packets("udp", b.settings.Peers.GossipAddress)
 	if err != nil {
 		return fmt.Errorf("peers.gossip_address: %w", err)
@@ -93,18 +93,18 @@
 	b.gossip = membership.NewGossip(node, b.socket,
 		membership.WithClock(b.clock), membership.WithLogger(b.logger),
 		membership.WithOnChange(func([]string) { b.applyMembership() }), membership.WithFacts(b.facts))
-	b.socket.Open(datagram.Channel{
-		Name: membership.ChannelName, CodeBytes: membership.CodeBytes, Handle: b.gossip.Receive,
+	b.socket.AddChannel(datagram.Channel{
+		Prefix: membership.ChannelPrefix, MACBytes: membership.MACBytes, Handle: b.gossip.Receive,
 		Sent: b.metrics.GossipSent, Received: b.metrics.GossipReceived,
 	})
 }
 
 func (b *Box) openGrants() {
 	b.agent = grant.NewAgent(membership.NewID(b.settings.Box), func(address string, body []byte) {
-		b.socket.Send(grant.ChannelName, address, body)
-	}, b.pools.Standing, b.clock, b.logger)
-	b.socket.Open(datagram.Channel{
-		Name: grant.ChannelName, CodeBytes: grant.CodeBytes, Handle: b.agent.Receive,
+		b.socket.Send(grant.ChannelPrefix, address, body)
+	}, b.pools.MemberState, b.clock, b.logger)
+	b.socket.AddChannel(datagram.Channel{
+		Prefix: grant.ChannelPrefix, MACBytes: grant.MACBytes, Handle: b.agent.Receive,
 		Sent: b.metrics.GrantsSent, Received: b.metrics.GrantsReceived,
 	})
 	b.picker = picker.New(b.pools, b.agent, b.ownerByName, b.clock.Now)
@@ -127,7 +127,7 @@
 		return b.pools.Acquire(x.PoolName(), x.Key, tried)
 	}
 	return b.picker.Acquire(x.Context(), picker.Request{
-		Pool: x.PoolName(), Key: x.Key, Fresh: x.Fresh, Tried: tried,
+		Pool: x.PoolName(), Key: x.Key, FirstTurn: x.FirstTurn, Tried: tried,
 	})
 }
 
@@ -139,7 +139,7 @@
 	b.updateMembers()
 	b.pools.SetFleet(pool.Fleet{Boxes: b.gossip.Live(), Draining: draining})
 	b.picker.Refresh()
-	b.admit.Poke()
+	b.admit.AdmitWaiting()
 }
 
 // updateMembers updates the addresses of the other boxes, and frees the engine slots held by
@@ -151,7 +151,7 @@
 			addresses[member.Name] = member.GossipAddress
 			continue
 		}
-		b.agent.Forget(membership.NewID(member.Name))
+		b.agent.RemoveBox(membership.NewID(member.Name))
 	}
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
@@ -160,7 +160,7 @@
 
 // facts returns the facts that this box publishes by gossip.
 func (b *Box) facts() membership.Facts {
-	running, waiting := b.admit.Lengths()
+	running, waiting := b.admit.QueueLengths()
 	return membership.Facts{
 		TableOffset: b.store.State().Offset(),
 		InFlight:    uint32(running + waiting),
@@ -240,7 +240,7 @@
 	}
 	b.fleet.drainingUpstreams = draining
 	b.fleet.mu.Unlock()
-	b.gossip.SetListed(addresses)
+	b.gossip.SetKnownAddresses(addresses)
 	if changed {
 		b.applyMembership()
 	}
@@ -261,7 +261,7 @@
 // remoteBoxes returns the live boxes of other failure domains that have not failed recently:
 // those on the platform's lists, and those that have been in contact by gossip.
 func (b *Box) remoteBoxes() []backing.ListedBox {
-	contacts := b.gossip.Foreign(remoteContactTTLMs)
+	contacts := b.gossip.OtherDomainBoxes(remoteContactTTLMs)
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	byName := map[string]backing.ListedBox{}
--- a/internal/box/status.go
+++ b/internal/box/status.go
@@ -54,7 +54,7 @@
 
 // Status returns the box's current status.
 func (b *Box) Status() Status {
-	running, waiting := b.admit.Lengths()
+	running, waiting := b.admit.QueueLengths()
 	status := Status{
 		Box: b.settings.Box, FailureDomain: b.settings.FailureDomain, Ready: b.Ready(), NowMs: b.clock.Now(),
 		TableOffset: b.store.State().Offset(), LogSource: b.follower.Source(), LogReadMs: b.follower.LastReadMs(),
--- a/internal/box/stop.go
+++ b/internal/box/stop.go
@@ -25,8 +25,8 @@
 // stop shuts down gracefully: it withdraws readiness and announces the shutdown to peers,
 // waits for running requests, flushes claims, and then closes the listeners.
 func (b *Box) stop(ctx context.Context) error {
-	config.Fill(&b.settings.Stop.AnnounceMs, defaultAnnounceMs)
-	config.Fill(&b.settings.Stop.DrainMs, defaultDrainMs)
+	config.SetDefault(&b.settings.Stop.AnnounceMs, defaultAnnounceMs)
+	config.SetDefault(&b.settings.Stop.DrainMs, defaultDrainMs)
 	b.draining.Store(true)
 	b.gossip.Leave()
 	b.logger.Info("graceful shutdown started", zap.String("box", b.settings.Box))
--- a/internal/box/table.go
+++ b/internal/box/table.go
@@ -250,7 +250,7 @@
 			return
 		}
 		for _, record := range page.Records {
-			b.store.Record(record)
+			b.store.ApplyRecord(record)
 		}
 		b.follower.Advance(b.store.State().Offset())
 	})
--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -27,9 +27,9 @@
 	Calls CallBytes
 }
 
-// LetterTarget returns the size that the users require, with the sizes of single calls as measured now. A claim costs
+// RequiredTarget returns the size that the users require, with the sizes of single calls as measured now. A claim costs
 // two calls to the gatherer: one for the claim and one for its settlement.
-func LetterTarget() Target {
+func RequiredTarget() Target {
 	return Target{
 		Boxes: 2500, Domains: 28, Engines: 10_000, RequestsPerSecond: 59_000,
 		Sessions: 22_000_000, Organisations: 37_000, EditsPerDay: 14_000, RestartsPerDay: 3500,
@@ -125,8 +125,8 @@
 func (b budget) grants() Role {
 	requests := b.t.RequestsPerSecond / b.t.Boxes
 	sizes := grant.WireSizes()
-	perRequest := b.t.AsksPerRequest*float64(sizes.Ask+sizes.Reply) + float64(sizes.Hold) +
-		b.t.NewsPerRequest*float64(sizes.News)
+	perRequest := b.t.AsksPerRequest*float64(sizes.Ask+sizes.Reply) + float64(sizes.InFlight) +
+		b.t.NewsPerRequest*float64(sizes.Placement)
 	messages := 2 * requests * (2*b.t.AsksPerRequest + 1 + b.t.NewsPerRequest)
 	sessions := b.t.Sessions / b.t.Boxes * b.t.FractionOutsideFirstChoice
 	return Role{
--- a/internal/capacity/callbytes.go
+++ b/internal/capacity/callbytes.go
@@ -61,7 +61,7 @@
 	engineServer := httptest.NewServer(fake)
 	defer engineServer.Close()
 	c := &callCounter{bytes: &byteCount{}}
-	c.client = transport.Control(transport.Settings{
+	c.client = transport.NewControlClient(transport.Settings{
 		ConnectTimeoutMs: clock.Second, IdleTimeoutMs: clock.Second, MaxIdlePerHost: 1,
 	}, func() string { return callKey }, c.bytes, c.bytes)
 	defer c.client.CloseIdleConnections()
@@ -92,7 +92,7 @@
 }
 
 func (c *callCounter) listPoll(url string) float64 {
-	list, known := backing.BoxList{URL: url, Client: c.client}, backing.DatedList{}
+	list, known := backing.BoxList{URL: url, Client: c.client}, backing.VersionedList{}
 	return c.count(func(ctx context.Context) error {
 		var err error
 		known, err = list.Get(ctx, "north", known)
@@ -151,5 +151,5 @@
 	}, 1_800_000_000)
 	facts := targetFacts()
 	facts.Boxes = listedBoxes
-	return float64(len(node.TellSums("a", membership.NewID("north"), 1_800_000_000_000, facts)[0].Body) + framingBytes)
+	return float64(len(node.SendDomainFacts("a", membership.NewID("north"), 1_800_000_000_000, facts)[0].Body) + framingBytes)
 }
--- a/internal/capacity/calls.go
+++ b/internal/capacity/calls.go
@@ -65,22 +65,22 @@
 	body := make([]byte, 60)
 	remaining := count
 	channel := datagram.Channel{
-		Name: membership.ChannelName, CodeBytes: membership.CodeBytes, Sent: discard{}, Received: discard{},
+		Prefix: membership.ChannelPrefix, MACBytes: membership.MACBytes, Sent: discard{}, Received: discard{},
 	}
-	channel.Handle = func(from string, _ []byte) { two.Send(channel.Name, from, body) }
-	two.Open(channel)
+	channel.Handle = func(from string, _ []byte) { two.Send(channel.Prefix, from, body) }
+	two.AddChannel(channel)
 	channel.Handle = func(from string, _ []byte) {
 		remaining -= 2
 		if remaining <= 0 {
 			close(done)
 			return
 		}
-		one.Send(channel.Name, from, body)
+		one.Send(channel.Prefix, from, body)
 	}
-	one.Open(channel)
+	one.AddChannel(channel)
 	go one.Run(ctx)
 	go two.Run(ctx)
-	one.Send(channel.Name, two.Address(), body)
+	one.Send(channel.Prefix, two.Address(), body)
 	<-done
 }
 
@@ -104,7 +104,7 @@
 	}
 	go func() { _ = server.Serve(listener) }()
 	defer func() { _ = server.Close() }()
-	client := transport.Control(transport.Settings{
+	client := transport.NewControlClient(transport.Settings{
 		ConnectTimeoutMs: clock.Second, IdleTimeoutMs: clock.Second, MaxIdlePerHost: 1,
 	}, func() string { return callKey }, discard{}, discard{})
 	defer client.CloseIdleConnections()
--- a/internal/capacity/gossip.go
+++ b/internal/capacity/gossip.go
@@ -14,7 +14,7 @@
 	gossipWarmup    = 120 * clock.Second
 	gossipMeasure   = 30 * clock.Second
 	periodsPerFacts = 4
-	framingBytes    = 1 + membership.CodeBytes
+	framingBytes    = 1 + membership.MACBytes
 )
 
 // gossipCost is the cost of membership per box.
@@ -72,7 +72,7 @@
 			Name: fmt.Sprintf("north-box-%03d", i), Domain: "north",
 			GossipAddress: strconv.Itoa(i), PeerAddress: "10.11.12.13:8021",
 		}, uint32(r.now/clock.Second))
-		node.SetListed(listed)
+		node.SetKnownAddresses(listed)
 		r.nodes = append(r.nodes, node)
 	}
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -237,11 +237,11 @@
 		measure(Slope{Name: "grants: answer an ask", Against: "boxes of a failure domain", Unit: "µs"}, boxSizes,
 			func(boxes int) float64 {
 				ledger, i := grant.NewLedger(grant.DefaultSettings()), 0
-				standing := grant.Standing{Pool: 1, Part: 1.0 / 360, Boxes: boxes, BoundPercent: 125, Slots: 256}
+				standing := grant.MemberState{Pool: 1, WeightFraction: 1.0 / 360, Boxes: boxes, BoundPercent: 125, Slots: 256}
 				return nanoseconds(func() {
 					i++
 					box := grant.Box(i % boxes)
-					ledger.Ask(grant.Ask{Place: grant.Place(i % 4), Box: box, Held: 1, Total: 240}, standing, 0)
+					ledger.Ask(grant.Ask{Place: grant.Place(i % 4), Box: box, InFlight: 1, Total: 240}, standing, 0)
 				}) / kilo
 			}),
 		measure(Slope{Name: "grants: memory of remembered sessions", Against: "sessions", Unit: "MB"}, sessionSizes,
--- a/internal/claim/main_test.go
+++ b/internal/claim/main_test.go
@@ -8,6 +8,6 @@
 )
 
 func TestMain(m *testing.M) {
-	testlib.SeedRapid()
+	testlib.FixRapidSeed()
 	os.Exit(m.Run())
 }
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -67,8 +67,8 @@
 	Status      int    `json:"s"`
 	ContentType string `json:"c,omitempty"`
 	Body        []byte `json:"b,omitempty"`
-	// Cut is set when the body was too long to be stored.
-	Cut bool `json:"x,omitempty"`
+	// Truncated is set when the body was too long to be stored.
+	Truncated bool `json:"x,omitempty"`
 	// Unknown is set when the request may have run but its response was not seen.
 	Unknown bool `json:"u,omitempty"`
 }
--- a/internal/claim/service.go
+++ b/internal/claim/service.go
@@ -81,15 +81,15 @@
 	if verdict, answered := s.forward(ctx, Shard(record.Key), record); answered {
 		return verdict, nil
 	}
-	verdict, err := s.ClaimHere(ctx, record)
+	verdict, err := s.ClaimLocal(ctx, record)
 	if err != nil {
 		s.Submit(Record{Type: TypeRelease, Key: record.Key, Owner: record.Owner})
 	}
 	return verdict, err
 }
 
-// ClaimHere claims through this box's own stream, also on behalf of other boxes.
-func (s *Service) ClaimHere(ctx context.Context, record Record) (Verdict, error) {
+// ClaimLocal claims through this box's own stream, also on behalf of other boxes.
+func (s *Service) ClaimLocal(ctx context.Context, record Record) (Verdict, error) {
 	return s.stream(Shard(record.Key)).Claim(ctx, record)
 }
 
@@ -105,7 +105,7 @@
 	s.submitting++
 	s.group.Go(func() {
 		if _, forwarded := s.forward(ctx, Shard(record.Key), record); !forwarded {
-			s.SubmitHere(record)
+			s.SubmitLocal(record)
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -113,8 +113,8 @@
 	})
 }
 
-// SubmitHere queues a record in this box's own stream, also on behalf of other boxes.
-func (s *Service) SubmitHere(record Record) {
+// SubmitLocal queues a record in this box's own stream, also on behalf of other boxes.
+func (s *Service) SubmitLocal(record Record) {
 	s.stream(Shard(record.Key)).Submit(record)
 }
 
--- a/internal/cmd/loadcmd/experiment.go
+++ b/internal/cmd/loadcmd/experiment.go
@@ -66,10 +66,10 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "disabled\tin time\tserved\tread again\tmoved\tattempts")
 	b := r.Baseline
-	fmt.Fprintf(w, "(nothing)\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\n", b.InTime, b.Served, b.ReadAgain, b.Moved, b.Attempts)
+	fmt.Fprintf(w, "(nothing)\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\n", b.InTime, b.Served, b.Reread, b.Fetched, b.Attempts)
 	for _, o := range r.Outcomes {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", o.Off,
-			formatDiff(o.InTime), formatDiff(o.Served), formatDiff(o.ReadAgain), formatDiff(o.Moved), formatDiff(o.Attempts))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", o.Disabled,
+			formatDiff(o.InTime), formatDiff(o.Served), formatDiff(o.Reread), formatDiff(o.Fetched), formatDiff(o.Attempts))
 	}
 	return w.Flush()
 }
@@ -83,7 +83,7 @@
 	}
 	bars := []chart.Bar{}
 	for _, o := range r.Outcomes {
-		bars = append(bars, chart.Bar{Name: string(o.Off), Value: o.InTime.Mean, Error: o.InTime.Error})
+		bars = append(bars, chart.Bar{Name: string(o.Disabled), Value: o.InTime.Mean, Error: o.InTime.Error})
 	}
 	if err := chart.Bars(file, "Requests in time, with one mechanism disabled", "difference", bars); err != nil {
 		_ = file.Close()
--- a/internal/cmd/loadcmd/measure.go
+++ b/internal/cmd/loadcmd/measure.go
@@ -91,7 +91,7 @@
 		Flags: []cli.Flag{jsonFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			slopes := capacity.Measure(func(name string) { fmt.Fprintln(progress, name) })
-			roles := capacity.Budget(slopes, capacity.LetterTarget())
+			roles := capacity.Budget(slopes, capacity.RequiredTarget())
 			report := capacityReport{Slopes: slopes, Roles: roles, Sum: capacity.Sum(roles)}
 			if c.Bool(flagJSON) {
 				return printJSON(out, report)
--- a/internal/cmd/loadcmd/run.go
+++ b/internal/cmd/loadcmd/run.go
@@ -45,7 +45,7 @@
 				return err
 			}
 			for _, r := range results {
-				if len(r.Breaches) > 0 {
+				if len(r.Violations) > 0 {
 					return ErrGuaranteeViolated
 				}
 			}
@@ -110,9 +110,9 @@
 		"\tcontrol B/s\tgossip B/s\tgrants B/s\tviolations")
 	for _, r := range results {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%.3f\t%d/%d/%d\t%.2f\t%.1f\t%d\t%d\t%.0f\t%.0f\t%.0f\t%v\n", r.Policy,
-			r.Chats.Requests, r.Chats.Verdicts[load.Whole], r.Chats.Reuse, r.Chats.First.P50, r.Chats.First.P95,
-			r.Chats.First.P99, r.Skew, r.Excess, r.Filings.Requests, r.Filings.Verdicts[load.Whole],
-			r.ControlBytes, r.GossipBytes, r.GrantBytes, r.Breaches)
+			r.Chats.Requests, r.Chats.Verdicts[load.Complete], r.Chats.Reuse, r.Chats.First.P50, r.Chats.First.P95,
+			r.Chats.First.P99, r.Skew, r.Excess, r.ServiceCalls.Requests, r.ServiceCalls.Verdicts[load.Complete],
+			r.ControlBytes, r.GossipBytes, r.GrantBytes, r.Violations)
 	}
 	return w.Flush()
 }
@@ -136,7 +136,7 @@
 			}
 			fmt.Fprintf(out, "sustained: %.0f small responses per second, %.0f streams of 50 tokens per second (router, "+
 				"callers and stand-ins on %d cores), %.0f allocations per request in total\n",
-				r.HeldPerSecond, r.StreamsPerHeld, r.Cores, r.AllocsPerHeld)
+				r.MaxRequestsPerSecond, r.MaxStreamsPerSecond, r.Cores, r.AllocsPerRequest)
 			fmt.Fprintf(out, "at %.0f per second: direct p50 %d µs, p99 %d µs; "+
 				"routed p50 %d µs, p99 %d µs; added %d and %d µs\n", r.PerSecond,
 				r.DirectP50Us, r.DirectP99Us, r.RoutedP50Us, r.RoutedP99Us,
--- a/internal/cmd/operatorcmd/table.go
+++ b/internal/cmd/operatorcmd/table.go
@@ -108,7 +108,7 @@
 	return nil
 }
 
-func findSheet(reply operators.TableReply, name string) (operators.Sheet, error) {
+func findSheet(reply operators.TableResponse, name string) (operators.Sheet, error) {
 	for _, sheet := range reply.Sheets {
 		if sheet.Name == name {
 			return sheet, nil
@@ -165,7 +165,7 @@
 	for _, change := range changes {
 		rows[change.Sheet] = append(rows[change.Sheet], change.Row)
 	}
-	reply := operators.TableReply{}
+	reply := operators.TableResponse{}
 	for name, names := range rows {
 		sheet, err := client.Rows(ctx, name, names...)
 		if err != nil {
@@ -180,7 +180,7 @@
 }
 
 // findCell returns the cell at a sheet, row and column, or the zero value if there is none.
-func findCell(reply operators.TableReply, parts []string) table.Cell {
+func findCell(reply operators.TableResponse, parts []string) table.Cell {
 	sheet, err := findSheet(reply, parts[0])
 	if err != nil {
 		return table.Cell{}
@@ -309,7 +309,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return tablefile.Changes(file, tablefile.Current{Table: reply, History: history}, c.Bool("prune")), nil
+	return tablefile.Diff(file, tablefile.Baseline{Table: reply, History: history}, c.Bool("prune")), nil
 }
 
 func (p *app) tableDiff(ctx context.Context, c *cli.Command, client opclient.Client) error {
@@ -370,7 +370,7 @@
 				fmt.Fprintf(p.out, "  - %s\n", change.Address())
 				continue
 			}
-			fmt.Fprintf(p.out, "  %s: %q -> %q\n", change.Address(), entry.Before[i], change.Value)
+			fmt.Fprintf(p.out, "  %s: %q -> %q\n", change.Address(), entry.PreviousValues[i], change.Value)
 		}
 	}
 	return nil
--- a/internal/cmd/operatorcmd/why.go
+++ b/internal/cmd/operatorcmd/why.go
@@ -37,7 +37,7 @@
 			if err != nil {
 				return err
 			}
-			selected := why.Story(lines, c.Args().First(), c.Duration("before"))
+			selected := why.RequestLines(lines, c.Args().First(), c.Duration("before"))
 			if len(selected) == 0 {
 				return fmt.Errorf("%w: %s", errNoLogLines, c.Args().First())
 			}
--- a/internal/cmd/standincmd/standincmd.go
+++ b/internal/cmd/standincmd/standincmd.go
@@ -56,7 +56,7 @@
 				Name: "service", Usage: "run a stand-in for one server of a plain service",
 				Flags: []cli.Flag{address, name},
 				Action: func(ctx context.Context, c *cli.Command) error {
-					return serve(ctx, c, out, standin.NewServer(c.String("name"), standin.NewRunLedger(), clock.New()))
+					return serve(ctx, c, out, standin.NewServer(c.String("name"), standin.NewRunCounter(), clock.New()))
 				},
 			},
 			faultCommand(out),
@@ -74,10 +74,10 @@
 }
 
 func newEngine(c *cli.Command) http.Handler {
-	speed := standin.DefaultSpeed()
+	speed := standin.DefaultTiming()
 	speed.TokenMs = clock.Millis(c.Int("token-ms"))
 	speed.Slots = c.Int("slots")
-	options := []standin.EngineOption{standin.WithSpeed(speed)}
+	options := []standin.EngineOption{standin.WithTiming(speed)}
 	if c.Bool("check-tokens") {
 		options = append(options, standin.WithTokenChecks())
 	}
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -28,10 +28,10 @@
 
 // Channel is one type of message on the socket.
 type Channel struct {
-	// Name is the first byte of the channel's datagrams.
-	Name byte
-	// CodeBytes is the length to which the message authentication code is truncated.
-	CodeBytes int
+	// Prefix is the first byte of the channel's datagrams.
+	Prefix byte
+	// MACBytes is the length to which the message authentication code is truncated.
+	MACBytes int
 	// Sent and Received count the bytes of datagrams.
 	Sent, Received Counter
 	// Handle processes a message. It must not retain the body.
@@ -63,11 +63,11 @@
 	}
 }
 
-// Open adds a channel. It must be called before Run.
-func (s *Socket) Open(channel Channel) {
+// AddChannel adds a channel. It must be called before Run.
+func (s *Socket) AddChannel(channel Channel) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.channels[channel.Name] = channel
+	s.channels[channel.Prefix] = channel
 }
 
 // Address returns the local address of the socket.
@@ -156,8 +156,8 @@
 
 // seal prepends the channel's name and the authentication code to a body.
 func seal(key string, channel Channel, body []byte) []byte {
-	data := make([]byte, 0, 1+channel.CodeBytes+len(body))
-	data = append(data, channel.Name)
+	data := make([]byte, 0, 1+channel.MACBytes+len(body))
+	data = append(data, channel.Prefix)
 	data = append(data, authCode(key, channel, body)...)
 	return append(data, body...)
 }
@@ -165,13 +165,13 @@
 func authCode(key string, channel Channel, body []byte) []byte {
 	mac := hmac.New(sha256.New, []byte(key))
 	// Writing to a hash never fails.
-	_, _ = mac.Write([]byte{channel.Name})
+	_, _ = mac.Write([]byte{channel.Prefix})
 	_, _ = mac.Write(body)
-	return mac.Sum(nil)[:channel.CodeBytes]
+	return mac.Sum(nil)[:channel.MACBytes]
 }
 
 func open(keys []string, channel Channel, data []byte) ([]byte, error) {
-	start := 1 + channel.CodeBytes
+	start := 1 + channel.MACBytes
 	if len(data) <= start || len(data) > MaxBytes {
 		return nil, ErrMalformed
 	}
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestSealing(t *testing.T) {
-	channel := Channel{Name: 'm', CodeBytes: 8}
+	channel := Channel{Prefix: 'm', MACBytes: 8}
 	t.Run("opens with any of the keys", func(t *testing.T) {
 		body, err := open([]string{newKey, oldKey}, channel, seal(oldKey, channel, []byte("x")))
 		require.NoError(t, err)
@@ -23,7 +23,7 @@
 		data := seal(oldKey, channel, []byte("x"))
 		_, err := open([]string{newKey}, channel, data)
 		require.ErrorIs(t, err, ErrUnauthentic)
-		_, err = open([]string{oldKey}, Channel{Name: 'g', CodeBytes: 8}, data)
+		_, err = open([]string{oldKey}, Channel{Prefix: 'g', MACBytes: 8}, data)
 		require.ErrorIs(t, err, ErrUnauthentic)
 		data[len(data)-1]++
 		_, err = open([]string{oldKey}, channel, data)
@@ -36,7 +36,7 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	channel := Channel{Name: 'm', CodeBytes: 8}
+	channel := Channel{Prefix: 'm', MACBytes: 8}
 	f.Add(seal(oldKey, channel, []byte("x")))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		body, err := open([]string{oldKey}, channel, data)
--- a/internal/decision/log.go
+++ b/internal/decision/log.go
@@ -16,8 +16,8 @@
 	// MaxLinesPerSecond is the maximum number of lines written in each window of one
 	// second. Routine lines may use at most half of it.
 	MaxLinesPerSecond int
-	// MaxWaiting is the capacity of each of the two event queues (important and routine).
-	MaxWaiting int
+	// QueueCapacity is the capacity of each of the two event queues (important and routine).
+	QueueCapacity int
 }
 
 // Log queues events and writes them as JSON lines. Record never blocks: events are
@@ -39,8 +39,8 @@
 func New(settings Settings, c clock.Clock, core zapcore.Core) *Log {
 	return &Log{
 		settings: settings, clock: c, core: core,
-		important: make(chan Event, settings.MaxWaiting),
-		routine:   make(chan Event, settings.MaxWaiting),
+		important: make(chan Event, settings.QueueCapacity),
+		routine:   make(chan Event, settings.QueueCapacity),
 	}
 }
 
--- a/internal/decision/log_test.go
+++ b/internal/decision/log_test.go
@@ -51,7 +51,7 @@
 	t.Run("never blocks on a blocked output", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			out := &blockedWriter{unblock: make(chan struct{})}
-			l := newLog(t, out, Settings{MaxLinesPerSecond: 1000, MaxWaiting: 4})
+			l := newLog(t, out, Settings{MaxLinesPerSecond: 1000, QueueCapacity: 4})
 			ctx, cancel := context.WithCancel(t.Context())
 			go l.Run(ctx)
 			for range 100 {
@@ -71,7 +71,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			out := &blockedWriter{unblock: make(chan struct{})}
 			close(out.unblock)
-			l := newLog(t, out, Settings{MaxLinesPerSecond: 10, MaxWaiting: 100})
+			l := newLog(t, out, Settings{MaxLinesPerSecond: 10, QueueCapacity: 100})
 			ctx, cancel := context.WithCancel(t.Context())
 			go l.Run(ctx)
 			for range 20 {
--- a/internal/engine/chat.go
+++ b/internal/engine/chat.go
@@ -80,8 +80,8 @@
 	return opening.Bytes()
 }
 
-// Fresh reports whether the messages contain no answer of the model yet.
-func (c *ChatRequest) Fresh() bool { return len(c.Messages) <= openingMessages }
+// IsFirstTurn reports whether the messages contain no answer of the model yet.
+func (c *ChatRequest) IsFirstTurn() bool { return len(c.Messages) <= openingMessages }
 
 // checkDepth limits the nesting of a body before the decoder recurses into it.
 func checkDepth(body []byte, maxDepth int) error {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -22,9 +22,9 @@
 	HeaderRequestID = "X-Request-Id"
 	HeaderPriority  = "X-Priority"
 	HeaderDeadline  = "X-Deadline-Ms"
-	// HeaderNotRun is "true" if the upstream rejected the request without running
+	// HeaderNotExecuted is "true" if the upstream rejected the request without running
 	// any part of it.
-	HeaderNotRun = "X-Not-Run"
+	HeaderNotExecuted = "X-Not-Run"
 	// HeaderInFlight and HeaderQueued report the load of the engine with each
 	// response.
 	HeaderInFlight = "X-Engine-In-Flight"
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -80,8 +80,8 @@
 	Path     string
 	Body     []byte
 	Streamed bool
-	// Fresh is set for the first turn of a chat, for which no engine can have a warm cache.
-	Fresh          bool
+	// FirstTurn is set for the first turn of a chat, for which no engine can have a warm cache.
+	FirstTurn      bool
 	Repeatable     bool
 	IdempotencyKey string
 	Deadline       clock.Millis
@@ -140,8 +140,8 @@
 // RemainingMs returns the time left before the deadline.
 func (x *Exchange) RemainingMs(now clock.Millis) clock.Millis { return x.Deadline - now }
 
-// StampOutcome sets the headers that every response has, unless the response has already started.
-func (x *Exchange) StampOutcome() {
+// SetOutcomeHeaders sets the headers that every response has, unless the response has already started.
+func (x *Exchange) SetOutcomeHeaders() {
 	if x.Writer.Started() {
 		return
 	}
--- a/internal/exchange/writer.go
+++ b/internal/exchange/writer.go
@@ -51,9 +51,9 @@
 // FlushNow sends buffered data.
 func (w *Writer) FlushNow() error { return w.controller.Flush() }
 
-// BoundRead sets the time within which the rest of the request must be read; 0 removes the limit. It
+// SetReadTimeout sets the time within which the rest of the request must be read; 0 removes the limit. It
 // has no effect on connections that don't support deadlines.
-func (w *Writer) BoundRead(span time.Duration) {
+func (w *Writer) SetReadTimeout(span time.Duration) {
 	deadline := time.Time{}
 	if span > 0 {
 		deadline = time.Now().Add(span)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -89,10 +89,10 @@
 	InTime float64 `json:"in_time"`
 	// Served is the fraction of requests that were answered at all.
 	Served float64 `json:"served"`
-	// ReadAgain is the fraction of shared tokens that an engine read although some engine had read them before.
-	ReadAgain float64 `json:"read_again"`
-	// Moved is the fraction of shared tokens that was fetched from another engine.
-	Moved float64 `json:"moved"`
+	// Reread is the fraction of shared tokens that an engine read although some engine had read them before.
+	Reread float64 `json:"read_again"`
+	// Fetched is the fraction of shared tokens that was fetched from another engine.
+	Fetched float64 `json:"moved"`
 	// Attempts is the mean number of engines that a request was sent to.
 	Attempts float64 `json:"attempts"`
 }
@@ -105,13 +105,13 @@
 
 // Outcome holds the differences that disabling one mechanism makes.
 type Outcome struct {
-	Off       Mechanism  `json:"off"`
-	Pairs     int        `json:"pairs"`
-	InTime    Difference `json:"in_time"`
-	Served    Difference `json:"served"`
-	ReadAgain Difference `json:"read_again"`
-	Moved     Difference `json:"moved"`
-	Attempts  Difference `json:"attempts"`
+	Disabled Mechanism  `json:"off"`
+	Pairs    int        `json:"pairs"`
+	InTime   Difference `json:"in_time"`
+	Served   Difference `json:"served"`
+	Reread   Difference `json:"read_again"`
+	Fetched  Difference `json:"moved"`
+	Attempts Difference `json:"attempts"`
 }
 
 // Report is the result of an experiment.
@@ -151,12 +151,12 @@
 		return differenceOf(values)
 	}
 	return Outcome{
-		Off: disabled, Pairs: len(base),
-		InTime:    difference(func(f Metrics) float64 { return f.InTime }),
-		Served:    difference(func(f Metrics) float64 { return f.Served }),
-		ReadAgain: difference(func(f Metrics) float64 { return f.ReadAgain }),
-		Moved:     difference(func(f Metrics) float64 { return f.Moved }),
-		Attempts:  difference(func(f Metrics) float64 { return f.Attempts }),
+		Disabled: disabled, Pairs: len(base),
+		InTime:   difference(func(f Metrics) float64 { return f.InTime }),
+		Served:   difference(func(f Metrics) float64 { return f.Served }),
+		Reread:   difference(func(f Metrics) float64 { return f.Reread }),
+		Fetched:  difference(func(f Metrics) float64 { return f.Fetched }),
+		Attempts: difference(func(f Metrics) float64 { return f.Attempts }),
 	}
 }
 
@@ -187,8 +187,8 @@
 	for _, f := range list {
 		sum.InTime += f.InTime / n
 		sum.Served += f.Served / n
-		sum.ReadAgain += f.ReadAgain / n
-		sum.Moved += f.Moved / n
+		sum.Reread += f.Reread / n
+		sum.Fetched += f.Fetched / n
 		sum.Attempts += f.Attempts / n
 	}
 	return sum
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -31,12 +31,12 @@
 	})
 	t.Run("without session affinity, prompts are read again", func(t *testing.T) {
 		off := of(t, Sticky)
-		assertWorse(t, off.ReadAgain, 1)
+		assertWorse(t, off.Reread, 1)
 	})
 	t.Run("without fetching, prompts are read again after crashes", func(t *testing.T) {
 		off := of(t, Fetch, Crash)
-		assertWorse(t, off.ReadAgain, 1)
-		assertWorse(t, off.Moved, -1)
+		assertWorse(t, off.Reread, 1)
+		assertWorse(t, off.Fetched, -1)
 	})
 	t.Run("without ejection, requests are late", func(t *testing.T) {
 		assertWorse(t, of(t, Ejection, Crash, Partition).InTime, -1)
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -155,7 +155,7 @@
 	n, sharedTokens := float64(s.requests), float64(max(1, s.sharedTokens))
 	return Metrics{
 		InTime: float64(s.inTime) / n, Served: float64(s.served) / n, Attempts: float64(s.attempts) / n,
-		ReadAgain: float64(s.reread) / sharedTokens, Moved: float64(s.fetched) / sharedTokens,
+		Reread: float64(s.reread) / sharedTokens, Fetched: float64(s.fetched) / sharedTokens,
 	}
 }
 
--- a/internal/gateway/box.go
+++ b/internal/gateway/box.go
@@ -122,7 +122,7 @@
 
 func (b *Box) build(settings config.Gateway) {
 	b.log = decision.New(decision.Settings{
-		MaxLinesPerSecond: settings.Lines.MaxPerSecond, MaxWaiting: logQueueSize,
+		MaxLinesPerSecond: settings.LogLimits.MaxPerSecond, QueueCapacity: logQueueSize,
 	}, b.clock, b.core)
 	b.routingState = routing.NewStateTracker(b.clock.Monotonic)
 	b.registry = registry.New(b.clock.Monotonic)
@@ -137,7 +137,7 @@
 	usablePercent := settings.Budget.Ratio * percent * localBudgetShare
 	window := clock.Millis(settings.Budget.WindowS * float64(clock.Second))
 	b.budgets = retry.NewBudgets(int(usablePercent*sustainedShare), retryReserve(settings.Budget.Slack),
-		retry.WithBank(int(usablePercent*(1-sustainedShare)), window, b.clock.Monotonic))
+		retry.WithBurst(int(usablePercent*(1-sustainedShare)), window, b.clock.Monotonic))
 	b.metrics.Publish("routing_state", func() any { return b.stateSummary() })
 	b.metrics.Publish("lines_dropped", func() any { return b.log.DroppedLines() })
 	b.quarantine = quarantine.New(b.clock.Monotonic, b.quarantineSettings, int64(b.clock.Now()))
@@ -193,7 +193,7 @@
 // a version. The box then can't decide that a route or a key does not exist: callers treat 401 and 404 as final
 // and would not retry (TestFreshness).
 func (b *Box) stateMayBeOutdated() bool {
-	return b.routingState.AgeMs() > clock.Millis(b.settings.Load().Freshness.InForceMs)
+	return b.routingState.AgeMs() > clock.Millis(b.settings.Load().Freshness.MaxPropagationMs)
 }
 
 // quarantineSettings returns the current settings of the quarantine.
--- a/internal/gateway/fatal_histories_test.go
+++ b/internal/gateway/fatal_histories_test.go
@@ -140,12 +140,12 @@
 		fleet: f, random: rand.New(rand.NewPCG(seed, 24)), poweredOff: map[string]bool{},
 		crashesMs: map[string][]clock.Millis{}, sendsMs: map[string][]clock.Millis{},
 	}
-	f.network.SetSilent(func(from, to string) bool {
+	f.network.SetBlackhole(func(from, to string) bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		return h.poweredOff[from] || h.poweredOff[to]
 	})
-	f.network.SetLoss(func() bool { return h.intn(5) == 0 })
+	f.network.SetPacketLoss(func() bool { return h.intn(5) == 0 })
 	for slot := range 10 {
 		h.start(slot)
 	}
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -109,7 +109,7 @@
 	route := func(path string, kind routing.Kind, attempts int) routing.Route {
 		return routing.Route{
 			Name: path, Host: host, PathPrefix: "/" + path + "/", Kind: kind, Attempts: attempts, TimeoutMs: timeoutMs,
-			ObjectiveMs: 500, GapMs: 300, Splits: []routing.Split{{Pool: "p", Weight: 1}},
+			ObjectiveMs: 500, MaxGapMs: 300, Splits: []routing.Split{{Pool: "p", Weight: 1}},
 		}
 	}
 	resumable, public := route("resumable", routing.Stream, 2), route("public", routing.Safe, 2)
--- a/internal/gateway/freshness_test.go
+++ b/internal/gateway/freshness_test.go
@@ -87,7 +87,7 @@
 			second := f.boxes(2)[1]
 			advance(f.t, time.Second)
 			f.store.setUnavailable("box-2", true)
-			f.network.SetCut(func(from, to string) bool { return from == "box-1" || to == "box-1" })
+			f.network.SetPartition(func(from, to string) bool { return from == "box-1" || to == "box-1" })
 			advance(f.t, maxAgeMs*time.Millisecond)
 			assertStatus(t, second, "/safe/", http.StatusServiceUnavailable)
 		})
@@ -208,7 +208,7 @@
 		advance(t, 3*time.Second)
 		source := storeReaderOf(boxes).settings.Box
 		f.store.setUnavailable(source, true)
-		f.network.SetSilent(func(from, to string) bool { return from == source && strings.HasPrefix(to, "box-") })
+		f.network.SetBlackhole(func(from, to string) bool { return from == source && strings.HasPrefix(to, "box-") })
 		f.setDraining("u1")
 		advance(t, defaultLeaveMs*time.Millisecond)
 		for _, b := range boxes {
@@ -217,7 +217,7 @@
 			}
 		}
 		// Unblocks hanging connections before the test ends.
-		f.network.SetSilent(func(string, string) bool { return false })
+		f.network.SetBlackhole(func(string, string) bool { return false })
 		advance(t, 3*time.Second)
 	})
 }
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -59,25 +59,25 @@
 
 // defaults returns the settings with defaults applied.
 func defaults(g config.Gateway) config.Gateway {
-	config.Fill(&g.Freshness.InForceMs, defaultInForceMs)
-	config.Fill(&g.Freshness.LeaveMs, defaultLeaveMs)
-	config.Fill(&g.Balance.LoadCap, defaultLoadCap)
-	config.Fill(&g.Balance.BoundPercent, max(percent+1, int(g.Balance.LoadCap*percent*boundShareOfCap)))
-	config.Fill(&g.Balance.EjectBaseMs, defaultEjectBaseMs)
-	config.Fill(&g.Balance.EjectMaxMs, defaultEjectMaxMs)
-	config.Fill(&g.Balance.PanicPercent, defaultPanicPercent)
+	config.SetDefault(&g.Freshness.MaxPropagationMs, defaultInForceMs)
+	config.SetDefault(&g.Freshness.MaxDrainNoticeMs, defaultLeaveMs)
+	config.SetDefault(&g.Balance.LoadCap, defaultLoadCap)
+	config.SetDefault(&g.Balance.BoundPercent, max(percent+1, int(g.Balance.LoadCap*percent*boundShareOfCap)))
+	config.SetDefault(&g.Balance.EjectBaseMs, defaultEjectBaseMs)
+	config.SetDefault(&g.Balance.EjectMaxMs, defaultEjectMaxMs)
+	config.SetDefault(&g.Balance.PanicPercent, defaultPanicPercent)
 	if g.Quarantine.MinCrashes == nil {
 		ends := defaultMinCrashes
 		g.Quarantine.MinCrashes = &ends
 	}
-	config.Fill(&g.Quarantine.HoldMs, defaultHoldMs)
-	config.Fill(&g.Lines.MaxPerSecond, defaultMaxLines)
-	config.Fill(&g.Capacity.MemoryMb, defaultMemoryMb)
-	config.Fill(&g.Capacity.OpenFiles, defaultOpenFiles)
-	config.Fill(&g.Budget.Ratio, defaultRatio)
-	config.Fill(&g.Budget.Slack, defaultSlack)
-	config.Fill(&g.Budget.WindowS, defaultWindowS)
-	config.Fill(&g.Shutdown.GraceS, defaultGraceS)
+	config.SetDefault(&g.Quarantine.HoldMs, defaultHoldMs)
+	config.SetDefault(&g.LogLimits.MaxPerSecond, defaultMaxLines)
+	config.SetDefault(&g.Capacity.MemoryMb, defaultMemoryMb)
+	config.SetDefault(&g.Capacity.OpenFiles, defaultOpenFiles)
+	config.SetDefault(&g.Budget.Ratio, defaultRatio)
+	config.SetDefault(&g.Budget.Slack, defaultSlack)
+	config.SetDefault(&g.Budget.WindowS, defaultWindowS)
+	config.SetDefault(&g.Shutdown.GraceS, defaultGraceS)
 	return g
 }
 
--- a/internal/gateway/policy_effects_test.go
+++ b/internal/gateway/policy_effects_test.go
@@ -61,7 +61,7 @@
 		b := f.box(1)
 		advance(f.t, time.Second)
 		partitioned := func(host string) bool { return domains[host] == "e" }
-		f.network.SetCut(func(from, to string) bool { return partitioned(from) || partitioned(to) })
+		f.network.SetPartition(func(from, to string) bool { return partitioned(from) || partitioned(to) })
 		f.network.SetDialDelay(func(_, to string) time.Duration {
 			if partitioned(to) {
 				return 200 * time.Millisecond
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -243,7 +243,7 @@
 		a := newCrashRecorder(f, 8)
 		boxes := f.boxes(2)
 		advance(f.t, 3*time.Second)
-		f.network.SetCut(func(from, to string) bool { return from != to && isBox(from) && isBox(to) })
+		f.network.SetPartition(func(from, to string) bool { return from != to && isBox(from) && isBox(to) })
 		advance(f.t, 3*time.Second)
 		a.resend(boxes[:1], "/stream/", 5, 500*time.Millisecond)
 		advance(f.t, 3*time.Second)
@@ -264,7 +264,7 @@
 		t.Run(name, func(t *testing.T) {
 			runWithFleet(t, func(f *fleet) {
 				var poweredOff sync.Map
-				f.network.SetSilent(func(from, to string) bool {
+				f.network.SetBlackhole(func(from, to string) bool {
 					_, one := poweredOff.Load(from)
 					_, other := poweredOff.Load(to)
 					return one || other
@@ -366,7 +366,7 @@
 			}))
 		}
 		advance(f.t, 3*time.Second)
-		f.network.SetCut(func(from, to string) bool { return from != to && isBox(from) && isBox(to) })
+		f.network.SetPartition(func(from, to string) bool { return from != to && isBox(from) && isBox(to) })
 		advance(f.t, 4*time.Second)
 		a.resend(boxes, "/stream/", 30, 1500*time.Millisecond)
 		assert.LessOrEqual(f.t, a.lateSends(), maxLateSends)
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -116,7 +116,7 @@
 			require.NoError(f.t, response.Body.Close())
 			assert.Equal(f.t, http.StatusServiceUnavailable, response.StatusCode)
 			advance(f.t, time.Second)
-			story := why.Story(log.read(f.t), "refused", 0)
+			story := why.RequestLines(log.read(f.t), "refused", 0)
 			require.Len(f.t, withMessage(story, "upstream asks for rest"), 1)
 			backoff := withMessage(story, "upstream asks for rest")[0]
 			assert.JSONEq(f.t, `"1"`, string(backoff.Fields["answer_to"]))
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -52,7 +52,7 @@
 		receive:   receive.New(b.bodyMemory(), b.clock.Monotonic),
 		screen:    screen.New(b.quarantine.QuarantineRemainingMs),
 		dispatch: dispatch.New(dispatch.Dependencies{
-			Pick: b.pick, MayRetry: b.budgets.Take, OnFirstSend: b.budgets.First,
+			Pick: b.pick, MayRetry: b.budgets.TryRetry, OnFirstSend: b.budgets.RecordAttempt,
 			StateAgeMs: b.routingState.AgeMs, RecordEvent: b.log.Record, OnPrefill: b.metrics.PromptTokensPrefilled,
 			RetryAfter: b.balance.RetryAfterMs, OnSignals: b.handleSignals, Observe: b.crashDetector.observe,
 			OnCompleted: b.crashDetector.handleCompleted, QuarantineRemainingMs: b.quarantine.QuarantineRemainingMs,
@@ -103,7 +103,7 @@
 	case errors.As(err, &refusal):
 		if r.Body == nil && refusal.Cause != opaque.BodyTimeout {
 			// The server reads the rest of a short body before it responds.
-			r.Writer.BoundRead(unreadBodyMs.Duration())
+			r.Writer.SetReadTimeout(unreadBodyMs.Duration())
 		}
 		refusal.Write(r)
 	default:
--- a/internal/gateway/streams_test.go
+++ b/internal/gateway/streams_test.go
@@ -97,7 +97,7 @@
 			go func() {
 				<-began
 				silentSince <- time.Now()
-				f.network.SetSilent(func(from, to string) bool {
+				f.network.SetBlackhole(func(from, to string) bool {
 					return (from == "near" || from == "box-2") != (to == "near" || to == "box-2")
 				})
 			}()
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -186,7 +186,7 @@
 	runWithFleet(t, func(f *fleet) {
 		first := f.boxes(2)[0]
 		advance(f.t, 2*time.Second)
-		f.network.SetCut(func(from, to string) bool { return from != to && isBox(from) && isBox(to) })
+		f.network.SetPartition(func(from, to string) bool { return from != to && isBox(from) && isBox(to) })
 		for range 100 {
 			f.advanceMonotonic(200)
 			advance(f.t, 50*time.Millisecond)
--- a/internal/gateway/timing.go
+++ b/internal/gateway/timing.go
@@ -56,8 +56,8 @@
 // timingOf derives the timing from settings with defaults applied. With fixed intervals and bounds of 1 s instead of
 // 2 s, boxes sent requests to upstreams up to 1.5 s after those had announced that they are draining.
 func timingOf(g config.Gateway) timing {
-	leave := clock.Millis(g.Freshness.LeaveMs)
-	slack := max(0, min(leave, clock.Millis(g.Freshness.InForceMs))-directReadLeadMs)
+	leave := clock.Millis(g.Freshness.MaxDrainNoticeMs)
+	slack := max(0, min(leave, clock.Millis(g.Freshness.MaxPropagationMs))-directReadLeadMs)
 	t := timing{
 		periodMs:       max(1, min(maxPeriodMs, slack/periodsInSlack)),
 		removalGraceMs: max(0, min(maxRemovalGraceMs, leave-removalLeadMs)),
@@ -81,7 +81,7 @@
 // for it. Period is the current gossip period.
 func (t timing) directReadAgeMs(g config.Gateway, period clock.Millis) clock.Millis {
 	typicalMs := t.pollMs + 2*period + directReadMarginMs
-	return max(typicalMs, clock.Millis(min(g.Freshness.LeaveMs, g.Freshness.InForceMs))-directReadLeadMs)
+	return max(typicalMs, clock.Millis(min(g.Freshness.MaxDrainNoticeMs, g.Freshness.MaxPropagationMs))-directReadLeadMs)
 }
 
 // shutdownGrace returns the time that a graceful shutdown may take.
--- a/internal/gateway/timing_test.go
+++ b/internal/gateway/timing_test.go
@@ -16,7 +16,7 @@
 // withBounds returns the default settings with bounds on freshness.
 func withBounds(leaveMs, inForceMs, maxAgeMs int64, graceS float64) config.Gateway {
 	g := config.Gateway{}
-	g.Freshness = config.Freshness{LeaveMs: leaveMs, InForceMs: inForceMs, MaxAgeMs: maxAgeMs}
+	g.Freshness = config.Freshness{MaxDrainNoticeMs: leaveMs, MaxPropagationMs: inForceMs, MaxAgeMs: maxAgeMs}
 	g.Shutdown.GraceS = graceS
 	return defaults(g)
 }
@@ -58,7 +58,7 @@
 // it starts draining while the store does not respond to the box that reads it for the failure domain.
 func TestDrainBounds(t *testing.T) {
 	for _, leaveMs := range []int64{1000, 2000} {
-		bound := func(g *config.Gateway) { g.Freshness.LeaveMs, g.Freshness.MaxAgeMs = leaveMs, 0 }
+		bound := func(g *config.Gateway) { g.Freshness.MaxDrainNoticeMs, g.Freshness.MaxAgeMs = leaveMs, 0 }
 		t.Run(fmt.Sprintf("an entry disappears after the store was unavailable, %d ms", leaveMs), func(t *testing.T) {
 			runWithFleet(t, func(f *fleet) {
 				f.upstream("u1", respondWith("one"))
--- a/internal/grant/agent.go
+++ b/internal/grant/agent.go
@@ -38,7 +38,7 @@
 type Agent struct {
 	box      Box
 	send     func(address string, body []byte)
-	standing func(place Place) (Standing, bool)
+	memberState func(place Place) (MemberState, bool)
 	clock    clock.Clock
 	logger   *zap.Logger
 
@@ -50,34 +50,34 @@
 	backoff   map[string]clock.Millis
 }
 
-// NewAgent returns an agent. The send function sends a body on the channel. The standing function
+// NewAgent returns an agent. The send function sends a body on the channel. The memberState function
 // returns the state of a place in its pool.
 func NewAgent(
-	box Box, send func(address string, body []byte), standing func(place Place) (Standing, bool),
+	box Box, send func(address string, body []byte), memberState func(place Place) (MemberState, bool),
 	c clock.Clock, logger *zap.Logger,
 ) *Agent {
 	return &Agent{
-		box: box, send: send, standing: standing, clock: c, logger: logger,
+		box: box, send: send, memberState: memberState, clock: c, logger: logger,
 		ledger: NewLedger(DefaultSettings()), directory: NewDirectory(),
 		pending: map[uint16]chan Reply{}, backoff: map[string]clock.Millis{},
 	}
 }
 
-// Asking is a question together with the requesting box's counts of requests in flight.
-type Asking struct {
+// Query is a question together with the requesting box's counts of requests in flight.
+type Query struct {
 	Question
 	Session Session
 	// First is set when the place is the session's first choice.
-	First bool
-	Held  int
-	Total int
+	First    bool
+	InFlight int
+	Total    int
 }
 
 // Ask sends a question to a place's owner.
-func (a *Agent) Ask(ctx context.Context, owner Owner, q Asking) (Reply, error) {
+func (a *Agent) Ask(ctx context.Context, owner Owner, q Query) (Reply, error) {
 	message := askMessage{
 		Box: a.box, Place: q.Place, Session: q.Session, Flags: q.flags(),
-		Held: clamp(q.Held), Total: clamp(q.Total),
+		InFlight: clamp(q.InFlight), Total: clamp(q.Total),
 	}
 	if owner.Self {
 		return checkKnown(a.decide(message))
@@ -88,12 +88,12 @@
 	return a.askRemote(ctx, owner, message)
 }
 
-func (q Asking) flags() byte {
+func (q Query) flags() byte {
 	flags := byte(0)
 	for _, f := range []struct {
 		set  bool
 		flag byte
-	}{{q.Lookup, flagLookup}, {q.Want, flagWant}, {q.Settle, flagSettle}, {q.First, flagFirst}} {
+	}{{q.Lookup, flagLookup}, {q.WantSlot, flagWant}, {q.BelowMean, flagBelowMean}, {q.First, flagFirst}} {
 		if f.set {
 			flags |= f.flag
 		}
@@ -120,19 +120,19 @@
 	for _, f := range []struct {
 		set  bool
 		flag byte
-	}{{r.Granted, flagGranted}, {r.Closed, flagClosed}, {r.unknown, flagUnknown}} {
+	}{{r.Granted, flagGranted}, {r.Unavailable, flagUnavailable}, {r.unknown, flagUnknown}} {
 		if f.set {
 			flags |= f.flag
 		}
 	}
-	over := int8(min(max(r.Over, math.MinInt8), math.MaxInt8))
-	return encodeMessage(kindReply, replyMessage{Sequence: sequence, Flags: flags, Over: over})
+	over := int8(min(max(r.Excess, math.MinInt8), math.MaxInt8))
+	return encodeMessage(kindReply, replyMessage{Sequence: sequence, Flags: flags, Excess: over})
 }
 
 func (m replyMessage) reply() Reply {
 	return Reply{
-		Granted: m.Flags&flagGranted != 0, Closed: m.Flags&flagClosed != 0,
-		unknown: m.Flags&flagUnknown != 0, Over: int(m.Over),
+		Granted: m.Flags&flagGranted != 0, Unavailable: m.Flags&flagUnavailable != 0,
+		unknown: m.Flags&flagUnknown != 0, Excess: int(m.Excess),
 	}
 }
 
@@ -188,35 +188,35 @@
 	a.backoff[owner] = a.clock.Now() + backoffMs
 }
 
-// Hold reports the number of requests that this box has in flight on a place to the place's owner.
-func (a *Agent) Hold(owner Owner, place Place, held int) {
-	message := holdMessage{Box: a.box, Place: place, Held: clamp(held)}
+// ReportInFlight reports the number of requests that this box has in flight on a place to the place's owner.
+func (a *Agent) ReportInFlight(owner Owner, place Place, held int) {
+	message := inFlightMessage{Box: a.box, Place: place, InFlight: clamp(held)}
 	if owner.Self {
 		a.applyHold(message)
 		return
 	}
 	if owner.Address != "" {
-		a.send(owner.Address, encodeMessage(kindHold, message))
+		a.send(owner.Address, encodeMessage(kindInFlight, message))
 	}
 }
 
-// News informs the owner of a session's first choice of the place that the session was sent to.
-func (a *Agent) News(owner Owner, session Session, place Place) {
-	message := newsMessage{Session: session, Place: place}
+// NotifyPlacement informs the owner of a session's first choice of the place that the session was sent to.
+func (a *Agent) NotifyPlacement(owner Owner, session Session, place Place) {
+	message := placementMessage{Session: session, Place: place}
 	if owner.Self {
 		a.applyNews(message)
 		return
 	}
 	if owner.Address != "" {
-		a.send(owner.Address, encodeMessage(kindNews, message))
+		a.send(owner.Address, encodeMessage(kindPlacement, message))
 	}
 }
 
-// Forget removes the counts of a box that has left.
-func (a *Agent) Forget(box Box) {
+// RemoveBox removes the counts of a box that has left.
+func (a *Agent) RemoveBox(box Box) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ledger.Forget(box)
+	a.ledger.RemoveBox(box)
 }
 
 // Sessions returns the number of entries in this box's session directory.
@@ -244,9 +244,9 @@
 		return handle(body, func(m replyMessage) { a.deliver(m.Sequence, m.reply()) })
 	case kindHint:
 		return handle(body, func(m hintMessage) { a.deliver(m.Sequence, Reply{Hint: m.Hint}) })
-	case kindHold:
+	case kindInFlight:
 		return handle(body, a.applyHold)
-	case kindNews:
+	case kindPlacement:
 		return handle(body, a.applyNews)
 	default:
 		return ErrMalformed
@@ -275,13 +275,13 @@
 	}
 }
 
-func (a *Agent) applyHold(m holdMessage) {
+func (a *Agent) applyHold(m inFlightMessage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ledger.Hold(m.Place, m.Box, int(m.Held), a.clock.Now())
+	a.ledger.SetInFlight(m.Place, m.Box, int(m.InFlight), a.clock.Now())
 }
 
-func (a *Agent) applyNews(m newsMessage) {
+func (a *Agent) applyNews(m placementMessage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.directory.Set(m.Session, m.Place)
@@ -289,7 +289,7 @@
 
 // decide replies to a question as the place's owner.
 func (a *Agent) decide(m askMessage) Reply {
-	standing, known := a.standing(m.Place)
+	memberState, known := a.memberState(m.Place)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if m.Flags&flagLookup != 0 {
@@ -302,14 +302,14 @@
 		return Reply{}
 	case !known:
 		return Reply{unknown: true}
-	case standing.Closed:
-		return Reply{Closed: true}
+	case memberState.Unavailable:
+		return Reply{Unavailable: true}
 	}
 	granted, over := a.ledger.Ask(Ask{
-		Place: m.Place, Box: m.Box, Held: int(m.Held), Total: int(m.Total), Settle: m.Flags&flagSettle != 0,
-	}, standing, a.clock.Now())
+		Place: m.Place, Box: m.Box, InFlight: int(m.InFlight), Total: int(m.Total), BelowMean: m.Flags&flagBelowMean != 0,
+	}, memberState, a.clock.Now())
 	if granted && m.Flags&flagFirst != 0 {
 		a.directory.Remove(m.Session)
 	}
-	return Reply{Granted: granted, Over: over}
+	return Reply{Granted: granted, Excess: over}
 }
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -12,10 +12,9 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// testStanding returns the standing of one of ten equal upstreams that receive requests from three
-// boxes.
-func testStanding() Standing {
-	return Standing{Pool: 1, Part: 0.1, Boxes: 3, BoundPercent: 125, Slots: 1000}
+// testMemberState returns the state of one of ten equal upstreams that receive requests from three boxes.
+func testMemberState() MemberState {
+	return MemberState{Pool: 1, WeightFraction: 0.1, Boxes: 3, BoundPercent: 125, Slots: 1000}
 }
 
 func TestLedger(t *testing.T) {
@@ -23,7 +22,7 @@
 		l := NewLedger(DefaultSettings())
 		granted := 0
 		for held := 1; held <= 40; held++ {
-			if ok, _ := l.Ask(Ask{Place: 1, Box: 1, Held: held, Total: 100}, testStanding(), 0); ok {
+			if ok, _ := l.Ask(Ask{Place: 1, Box: 1, InFlight: held, Total: 100}, testMemberState(), 0); ok {
 				granted++
 			}
 		}
@@ -32,46 +31,46 @@
 	})
 	t.Run("counts the requests of all boxes", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
-		l.Hold(1, 2, 37, 0)
-		ok, over := l.Ask(Ask{Place: 1, Box: 1, Held: 1, Total: 100}, testStanding(), 0)
+		l.SetInFlight(1, 2, 37, 0)
+		ok, over := l.Ask(Ask{Place: 1, Box: 1, InFlight: 1, Total: 100}, testMemberState(), 0)
 		assert.False(t, ok)
 		assert.Equal(t, 1, over)
 	})
 	t.Run("corrects a lost release with the next report", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
-		l.Hold(1, 2, 30, 0)
-		l.Hold(1, 2, 5, 10)
+		l.SetInFlight(1, 2, 30, 0)
+		l.SetInFlight(1, 2, 5, 10)
 		assert.Equal(t, 5, l.InFlight(1))
 	})
 	t.Run("removes the counts of a box that has left", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
-		l.Hold(1, 2, 30, 0)
-		l.Hold(1, 3, 2, 0)
-		l.Forget(2)
+		l.SetInFlight(1, 2, 30, 0)
+		l.SetInFlight(1, 3, 2, 0)
+		l.RemoveBox(2)
 		assert.Equal(t, 2, l.InFlight(1))
 	})
 	t.Run("expires counts that were not repeated", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
-		l.Hold(1, 2, 37, 0)
-		ok, _ := l.Ask(Ask{Place: 1, Box: 1, Held: 1, Total: 100}, testStanding(), DefaultSettings().CountTTLMs+1)
+		l.SetInFlight(1, 2, 37, 0)
+		ok, _ := l.Ask(Ask{Place: 1, Box: 1, InFlight: 1, Total: 100}, testMemberState(), DefaultSettings().CountTTLMs+1)
 		assert.True(t, ok)
 	})
 	t.Run("accepts a new session only below the mean", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
-		l.Hold(1, 2, 32, 0)
-		ask := Ask{Place: 1, Box: 1, Held: 1, Total: 100, Settle: true}
-		ok, _ := l.Ask(ask, testStanding(), 0)
+		l.SetInFlight(1, 2, 32, 0)
+		ask := Ask{Place: 1, Box: 1, InFlight: 1, Total: 100, BelowMean: true}
+		ok, _ := l.Ask(ask, testMemberState(), 0)
 		assert.False(t, ok)
-		ask.Settle = false
-		ok, _ = l.Ask(ask, testStanding(), 0)
+		ask.BelowMean = false
+		ok, _ = l.Ask(ask, testMemberState(), 0)
 		assert.True(t, ok)
 	})
 	t.Run("limits requests to the slots", func(t *testing.T) {
 		l := NewLedger(DefaultSettings())
-		s := testStanding()
+		s := testMemberState()
 		s.Slots = 2
-		l.Hold(1, 2, 2, 0)
-		ok, _ := l.Ask(Ask{Place: 1, Box: 1, Held: 1, Total: 100}, s, 0)
+		l.SetInFlight(1, 2, 2, 0)
+		ok, _ := l.Ask(Ask{Place: 1, Box: 1, InFlight: 1, Total: 100}, s, 0)
 		assert.False(t, ok)
 	})
 }
@@ -84,14 +83,14 @@
 			return asked, false
 		}
 		asked = append(asked, q.Place)
-		if s.Hear(q, reply(q)) {
+		if s.HandleReply(q, reply(q)) {
 			return asked, true
 		}
 	}
 }
 
 func TestSearch(t *testing.T) {
-	deny := func(Question) Reply { return Reply{Over: 1} }
+	deny := func(Question) Reply { return Reply{Excess: 1} }
 	t.Run("selects the first choice of a known session", func(t *testing.T) {
 		asked, granted := runSearch(NewSearch(1, []Place{1, 2, 3}, false), func(Question) Reply { return Reply{Granted: true} })
 		assert.True(t, granted)
@@ -103,36 +102,36 @@
 			if q.Lookup {
 				return Reply{Hint: 3}
 			}
-			assert.False(t, q.Settle, "a place with the cached prefix may be above the mean")
+			assert.False(t, q.BelowMean, "a place with the cached prefix may be above the mean")
 			return Reply{Granted: true}
 		})
 		assert.True(t, granted)
 		assert.Equal(t, []Place{1, 3}, asked)
-		assert.False(t, s.News(3), "the owner gave the hint")
+		assert.False(t, s.MustNotify(3), "the owner gave the hint")
 	})
 	t.Run("asks the owner of a first choice that does not accept new work", func(t *testing.T) {
 		s := NewSearch(1, []Place{2, 3}, false)
 		asked, _ := runSearch(s, func(q Question) Reply {
-			assert.Equal(t, q.Want, q.Place != 1)
-			return Reply{Granted: q.Want}
+			assert.Equal(t, q.WantSlot, q.Place != 1)
+			return Reply{Granted: q.WantSlot}
 		})
 		assert.Equal(t, []Place{1, 2}, asked)
-		assert.True(t, s.News(2))
+		assert.True(t, s.MustNotify(2))
 	})
 	t.Run("ends when all places deny and returns the least loaded one", func(t *testing.T) {
 		s := NewSearch(1, []Place{1, 2, 3}, false)
-		asked, granted := runSearch(s, func(q Question) Reply { return Reply{Over: 10 - int(q.Place)} })
+		asked, granted := runSearch(s, func(q Question) Reply { return Reply{Excess: 10 - int(q.Place)} })
 		assert.False(t, granted)
 		assert.LessOrEqual(t, len(asked), MaxAsks)
-		least, found := s.Least()
+		least, found := s.LeastLoaded()
 		assert.True(t, found)
 		assert.EqualValues(t, 3, least)
 	})
 	t.Run("returns no place when all places are closed", func(t *testing.T) {
 		s := NewSearch(1, []Place{1, 2}, false)
-		_, granted := runSearch(s, func(Question) Reply { return Reply{Closed: true} })
+		_, granted := runSearch(s, func(Question) Reply { return Reply{Unavailable: true} })
 		assert.False(t, granted)
-		_, found := s.Least()
+		_, found := s.LeastLoaded()
 		assert.False(t, found)
 	})
 	t.Run("ends for a new session when its only place denies", func(t *testing.T) {
@@ -147,7 +146,7 @@
 	t.Helper()
 	lost := false
 	var other *Agent
-	known := func(Place) (Standing, bool) { return testStanding(), true }
+	known := func(Place) (MemberState, bool) { return testMemberState(), true }
 	requester = NewAgent(1, func(_ string, body []byte) {
 		if !lost {
 			other.Receive("requester", body)
@@ -158,13 +157,13 @@
 }
 
 func TestAgent(t *testing.T) {
-	query := Asking{Question: Question{Place: 7, Want: true, Lookup: true}, Session: 5, Held: 1, Total: 100}
+	query := Query{Question: Question{Place: 7, WantSlot: true, Lookup: true}, Session: 5, InFlight: 1, Total: 100}
 	t.Run("asks an owner and gets a hint to the session's place", func(t *testing.T) {
 		requester, owner, _ := newAgentPair(t)
 		reply, err := requester.Ask(t.Context(), owner, query)
 		require.NoError(t, err)
 		assert.True(t, reply.Granted)
-		requester.News(owner, 5, 9)
+		requester.NotifyPlacement(owner, 5, 9)
 		reply, err = requester.Ask(t.Context(), owner, query)
 		require.NoError(t, err)
 		assert.EqualValues(t, 9, reply.Hint)
@@ -196,10 +195,10 @@
 func FuzzReceive(f *testing.F) {
 	f.Add(encodeMessage(kindAsk, askMessage{Box: 1, Place: 2}))
 	f.Add(encodeMessage(kindReply, replyMessage{Sequence: 1}))
-	f.Add(encodeMessage(kindHold, holdMessage{Box: 1, Place: 2, Held: 3}))
-	f.Add(encodeMessage(kindNews, newsMessage{Session: 1, Place: 2}))
+	f.Add(encodeMessage(kindInFlight, inFlightMessage{Box: 1, Place: 2, InFlight: 3}))
+	f.Add(encodeMessage(kindPlacement, placementMessage{Session: 1, Place: 2}))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		agent := NewAgent(1, func(string, []byte) {}, func(Place) (Standing, bool) { return testStanding(), true },
+		agent := NewAgent(1, func(string, []byte) {}, func(Place) (MemberState, bool) { return testMemberState(), true },
 			clock.New(), zap.NewNop())
 		if err := agent.receive("x", body); err != nil {
 			require.ErrorIs(t, err, ErrMalformed)
--- a/internal/grant/ledger.go
+++ b/internal/grant/ledger.go
@@ -71,44 +71,44 @@
 type Ask struct {
 	Place Place
 	Box   Box
-	// Held is the number of requests that the box has in flight on the upstream if it gets the slot.
-	Held int
+	// InFlight is the number of requests that the box has in flight on the upstream if it gets the slot.
+	InFlight int
 	// Total is the number of requests that the box has in flight on the whole pool if it gets the
 	// slot.
 	Total int
-	// Settle restricts the grant to an upstream whose load is below the mean.
-	Settle bool
+	// BelowMean restricts the grant to an upstream whose load is below the mean.
+	BelowMean bool
 }
 
-// Standing is the state of an upstream in its pool as seen by its owner.
-type Standing struct {
+// MemberState is the state of an upstream in its pool as seen by its owner.
+type MemberState struct {
 	Pool uint32
-	// Part is the upstream's fraction of the pool's weight, 0 to 1.
-	Part float64
+	// WeightFraction is the upstream's fraction of the pool's weight, 0 to 1.
+	WeightFraction float64
 	// Boxes is the number of boxes that send requests to the pool.
 	Boxes int
 	// BoundPercent is the load bound in percent of the mean load.
 	BoundPercent int
 	// Slots is the number of requests that the upstream runs concurrently.
 	Slots int
-	// Closed is set when the upstream does not accept new work.
-	Closed bool
+	// Unavailable is set when the upstream does not accept new work.
+	Unavailable bool
 }
 
 // Ask grants a slot if the upstream stays within the load bound and its slots, and if it meets the
-// condition of Settle. Over is the number of requests by which the upstream would exceed the limit.
+// condition of BelowMean. over is the number of requests by which the upstream would exceed the limit.
 // It is not positive when the slot is granted.
-func (l *Ledger) Ask(a Ask, s Standing, now clock.Millis) (granted bool, over int) {
+func (l *Ledger) Ask(a Ask, s MemberState, now clock.Millis) (granted bool, over int) {
 	l.totals[totalKey{pool: s.Pool, box: a.Box}] = reportedCount{count: a.Total, receivedMs: now}
 	c := l.counts(a.Place)
-	c.set(a.Box, a.Held, now)
+	c.set(a.Box, a.InFlight, now)
 	l.expire(c, now)
 	mean := l.mean(s, now)
 	over = c.sum - min(Limit(mean, s.BoundPercent), s.Slots)
-	if over <= 0 && (!a.Settle || float64(c.sum) <= math.Ceil(settleFraction*mean)) {
+	if over <= 0 && (!a.BelowMean || float64(c.sum) <= math.Ceil(settleFraction*mean)) {
 		return true, over
 	}
-	c.set(a.Box, a.Held-1, now)
+	c.set(a.Box, a.InFlight-1, now)
 	return false, over
 }
 
@@ -144,7 +144,7 @@
 // boxes that asked recently and assumes the median of those for each other box. Boxes without a
 // recent total tend to have little traffic, and the mean would let one busy box raise the estimate
 // for all of them.
-func (l *Ledger) mean(s Standing, now clock.Millis) float64 {
+func (l *Ledger) mean(s MemberState, now clock.Millis) float64 {
 	reported := l.reported[:0]
 	sum := 0
 	for key, t := range l.totals {
@@ -163,7 +163,7 @@
 		slices.Sort(reported)
 		load += float64(unreported * reported[len(reported)/2])
 	}
-	return load * s.Part
+	return load * s.WeightFraction
 }
 
 // settleFraction is the fraction of the mean up to which an upstream accepts a session that has no
@@ -185,13 +185,13 @@
 	return int(bound)
 }
 
-// Hold records the number of requests that a box has in flight on an upstream.
-func (l *Ledger) Hold(place Place, box Box, held int, now clock.Millis) {
+// SetInFlight records the number of requests that a box has in flight on an upstream.
+func (l *Ledger) SetInFlight(place Place, box Box, held int, now clock.Millis) {
 	l.counts(place).set(box, held, now)
 }
 
-// Forget removes all counts of a box that has left.
-func (l *Ledger) Forget(box Box) {
+// RemoveBox removes all counts of a box that has left.
+func (l *Ledger) RemoveBox(box Box) {
 	for key := range l.totals {
 		if key.box == box {
 			delete(l.totals, key)
--- a/internal/grant/search.go
+++ b/internal/grant/search.go
@@ -8,10 +8,10 @@
 // Reply is an owner's answer.
 type Reply struct {
 	Granted bool
-	// Over is the number of requests by which the upstream would exceed its bound.
-	Over int
-	// Closed is set when the upstream does not accept new work.
-	Closed bool
+	// Excess is the number of requests by which the upstream would exceed its bound.
+	Excess int
+	// Unavailable is set when the upstream does not accept new work.
+	Unavailable bool
 	// Hint is another place that has the session's cached prefix, or 0.
 	Hint Place
 	// unknown is set when the owner does not know the place.
@@ -23,12 +23,12 @@
 	Place Place
 	// Lookup asks the owner of the first choice for the place that has the session's cached prefix.
 	Lookup bool
-	// Want requests a slot at the place. It is not set if the place does not accept new work, so that
+	// WantSlot requests a slot at the place. It is not set if the place does not accept new work, so that
 	// only the owner's directory is queried.
-	Want bool
-	// Settle requests a slot only if the load is below the mean, because a session that moves to a
+	WantSlot bool
+	// BelowMean requests a slot only if the load is below the mean, because a session that moves to a
 	// new upstream should be able to stay there.
-	Settle bool
+	BelowMean bool
 }
 
 // Search selects the owners that one request asks, in order, based on the replies so far. It does
@@ -62,9 +62,9 @@
 	settleAttempts = 6
 )
 
-// NewSearch starts a search for a session through the open places in rank order. The first choice
-// is passed even if it is not open, because its owner keeps the session's directory entry. Fresh is
-// set for a new session, whose prefix can't be cached anywhere.
+// NewSearch starts a search for a session through the open places in rank order. The first choice is
+// passed even if it is not open, because its owner keeps the session's directory entry. fresh is set for
+// a new session, whose prefix can't be cached anywhere.
 func NewSearch(first Place, open []Place, fresh bool) *Search {
 	s := &Search{order: slices.Clone(open), first: first, lookup: !fresh, fresh: fresh}
 	s.nextCached = !fresh && s.firstIsOpen()
@@ -82,11 +82,11 @@
 		return Question{}, false
 	}
 	if s.lookup {
-		return Question{Place: s.first, Lookup: true, Want: s.nextCached}, true
+		return Question{Place: s.first, Lookup: true, WantSlot: s.nextCached}, true
 	}
 	if s.index < min(settleAttempts, len(s.order)) {
 		place := s.order[s.index]
-		return Question{Place: place, Want: true, Settle: !s.maybeCached(place)}, true
+		return Question{Place: place, WantSlot: true, BelowMean: !s.maybeCached(place)}, true
 	}
 	return s.retryDenied()
 }
@@ -102,19 +102,19 @@
 		return Question{}, false
 	}
 	slices.SortStableFunc(s.denied, func(a, b denial) int { return cmp.Compare(a.over, b.over) })
-	return Question{Place: s.denied[0].place, Want: true}, true
+	return Question{Place: s.denied[0].place, WantSlot: true}, true
 }
 
-// Hear processes the reply to the last question. It returns true if the slot was granted, which
+// HandleReply processes the reply to the last question. It returns true if the slot was granted, which
 // ends the search.
-func (s *Search) Hear(q Question, r Reply) bool {
+func (s *Search) HandleReply(q Question, r Reply) bool {
 	s.askCount++
 	if r.Granted {
 		return true
 	}
 	if q.Lookup {
 		s.lookup = false
-		if s.askHintNext(r.Hint) || !q.Want {
+		if s.askHintNext(r.Hint) || !q.WantSlot {
 			return false
 		}
 	}
@@ -123,8 +123,8 @@
 		s.askCount = MaxAsks
 		return false
 	}
-	if !r.Closed {
-		s.denied = append(s.denied, denial{place: q.Place, over: r.Over})
+	if !r.Unavailable {
+		s.denied = append(s.denied, denial{place: q.Place, over: r.Excess})
 	}
 	s.index++
 	s.nextCached = false
@@ -144,16 +144,16 @@
 	return true
 }
 
-// Least returns the denied place that is the least above its bound, for use when all places are
+// LeastLoaded returns the denied place that is the least above its bound, for use when all places are
 // above it.
-func (s *Search) Least() (Place, bool) {
+func (s *Search) LeastLoaded() (Place, bool) {
 	if len(s.denied) == 0 {
 		return 0, false
 	}
 	return s.denied[0].place, true
 }
 
-// News reports whether the owner of the first choice must be notified of the place that granted a
+// MustNotify reports whether the owner of the first choice must be notified of the place that granted a
 // slot. A grant at the first choice itself, or at the place that its owner hinted, needs no
 // notification.
-func (s *Search) News(place Place) bool { return place != s.first && place != s.hinted }
+func (s *Search) MustNotify(place Place) bool { return place != s.first && place != s.hinted }
--- a/internal/grant/wire.go
+++ b/internal/grant/wire.go
@@ -7,13 +7,13 @@
 	"fmt"
 )
 
-// ChannelName is the first byte of this package's datagrams.
-const ChannelName = 'g'
+// ChannelPrefix is the first byte of this package's datagrams.
+const ChannelPrefix = 'g'
 
-// CodeBytes is the length to which the authentication code of the datagrams is truncated. They are
+// MACBytes is the length to which the authentication code of the datagrams is truncated. They are
 // the most frequent datagrams between boxes, and a forged one can shift only a small amount of
 // load.
-const CodeBytes = 4
+const MACBytes = 4
 
 // ErrMalformed means that a message could not be decoded.
 var ErrMalformed = errors.New("malformed grant message")
@@ -23,19 +23,19 @@
 	kindAsk byte = iota + 1
 	kindReply
 	kindHint
-	kindHold
-	kindNews
+	kindInFlight
+	kindPlacement
 )
 
 // Flags of ask and reply messages.
 const (
 	flagLookup byte = 1 << iota
 	flagWant
-	flagSettle
+	flagBelowMean
 	flagFirst
 	flagGranted
 	flagUnknown
-	flagClosed
+	flagUnavailable
 )
 
 // askMessage is a question, encoded as fixed-size fields.
@@ -45,7 +45,7 @@
 	Place    Place
 	Session  Session
 	Flags    byte
-	Held     uint16
+	InFlight uint16
 	Total    uint16
 }
 
@@ -53,7 +53,7 @@
 type replyMessage struct {
 	Sequence uint16
 	Flags    byte
-	Over     int8
+	Excess   int8
 }
 
 // hintMessage is the reply that names the place with the session's cached prefix.
@@ -62,16 +62,16 @@
 	Hint     Place
 }
 
-// holdMessage reports the number of requests that a box has in flight on an upstream.
-type holdMessage struct {
-	Box   Box
-	Place Place
-	Held  uint16
+// inFlightMessage reports the number of requests that a box has in flight on an upstream.
+type inFlightMessage struct {
+	Box      Box
+	Place    Place
+	InFlight uint16
 }
 
-// newsMessage informs the owner of a session's first choice of the place that the session was sent
+// placementMessage informs the owner of a session's first choice of the place that the session was sent
 // to.
-type newsMessage struct {
+type placementMessage struct {
 	Session Session
 	Place   Place
 }
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -14,8 +14,8 @@
 
 // Times of a lease.
 const (
-	// SpanMs is the duration of a lease without renewal.
-	SpanMs = 15 * clock.Second
+	// DurationMs is the duration of a lease without renewal.
+	DurationMs = 15 * clock.Second
 	// renewIntervalMs is the interval between renewals, and the minimum interval between two
 	// attempts to acquire.
 	renewIntervalMs = 5 * clock.Second
@@ -91,7 +91,7 @@
 	if k.state.token != before.token {
 		k.sinceMs = k.clock.Now()
 	}
-	k.heldUntilMs = r.RequestedMs + SpanMs - clockMarginMs
+	k.heldUntilMs = r.RequestedMs + DurationMs - clockMarginMs
 }
 
 // maintain acquires a free lease, and renews or releases a held one.
@@ -104,7 +104,7 @@
 	k.mu.Lock()
 	k.lastAppendMs = requested
 	k.mu.Unlock()
-	data, err := json.Marshal(Record{Action: action, Holder: k.holder, SpanMs: SpanMs, RequestedMs: requested})
+	data, err := json.Marshal(Record{Action: action, Holder: k.holder, DurationMs: DurationMs, RequestedMs: requested})
 	if err != nil {
 		return
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -32,8 +32,8 @@
 	Action Action `json:"action"`
 	// Holder identifies a box and its incarnation: a restarted box is a different holder.
 	Holder string `json:"holder"`
-	// SpanMs is the duration of the lease, counted from the record's timestamp in the log.
-	SpanMs clock.Millis `json:"span_ms"`
+	// DurationMs is the duration of the lease, counted from the record's timestamp in the log.
+	DurationMs clock.Millis `json:"span_ms"`
 	// RequestedMs is the holder's own time before it appended the record. The holder counts its
 	// lease from this time, which is never later than the log's acceptance of the record.
 	RequestedMs clock.Millis `json:"asked_ms"`
@@ -55,7 +55,7 @@
 		return fmt.Errorf("%w: action: unknown", ErrMalformed)
 	case r.Holder == "" || len(r.Holder) > maxHolderBytes:
 		return fmt.Errorf("%w: holder: must have 1 to %d bytes", ErrMalformed, maxHolderBytes)
-	case r.Action != Release && (r.SpanMs <= 0 || r.SpanMs > maxSpanMs):
+	case r.Action != Release && (r.DurationMs <= 0 || r.DurationMs > maxSpanMs):
 		return fmt.Errorf("%w: span_ms: must be 1 to %d", ErrMalformed, maxSpanMs)
 	}
 	return nil
@@ -76,11 +76,11 @@
 	holds := s.holder == r.Holder && atMs < s.untilMs
 	switch {
 	case r.Action == Renew && holds:
-		s.untilMs = atMs + r.SpanMs
+		s.untilMs = atMs + r.DurationMs
 	case r.Action == Release && holds:
 		s.untilMs = atMs
 	case r.Action == Acquire && atMs >= s.untilMs:
-		return State{holder: r.Holder, token: offset + 1, untilMs: atMs + r.SpanMs, previousEndMs: s.untilMs}
+		return State{holder: r.Holder, token: offset + 1, untilMs: atMs + r.DurationMs, previousEndMs: s.untilMs}
 	}
 	return s
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -10,7 +10,7 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-func acquire(holder string) Record { return Record{Action: Acquire, Holder: holder, SpanMs: 10} }
+func acquire(holder string) Record { return Record{Action: Acquire, Holder: holder, DurationMs: 10} }
 
 func TestLease(t *testing.T) {
 	t.Run("is held by the first box that acquires it", func(t *testing.T) {
@@ -24,7 +24,7 @@
 		assert.EqualValues(t, 2, s.Token())
 	})
 	t.Run("is not renewed by a holder that lost it", func(t *testing.T) {
-		s := State{}.Apply(0, 0, acquire("a")).Apply(1, 10, Record{Action: Renew, Holder: "a", SpanMs: 10})
+		s := State{}.Apply(0, 0, acquire("a")).Apply(1, 10, Record{Action: Renew, Holder: "a", DurationMs: 10})
 		assert.EqualValues(t, 10, s.UntilMs())
 	})
 	t.Run("ends when its holder releases it", func(t *testing.T) {
@@ -42,7 +42,7 @@
 			now += clock.Millis(rapid.IntRange(0, 8).Draw(t, "gap"))
 			r := Record{
 				Action: rapid.SampledFrom([]Action{Acquire, Renew, Release}).Draw(t, "action"),
-				Holder: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "holder"), SpanMs: 10,
+				Holder: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "holder"), DurationMs: 10,
 			}
 			next := s.Apply(int64(offset), now, r)
 			if next.Token() != s.Token() {
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -19,13 +19,13 @@
 func flow(name string) Flow { return Flow{Name: name, Weight: 100} }
 
 func enter(ctx context.Context, q *Queue, name string) error {
-	_, err := q.Enter(ctx, flow(name), farDeadline)
+	_, err := q.Acquire(ctx, flow(name), farDeadline)
 	return err
 }
 
 func assertRefused(t *testing.T, q *Queue, deadline clock.Millis, want error) {
 	t.Helper()
-	_, err := q.Enter(t.Context(), flow("a"), deadline)
+	_, err := q.Acquire(t.Context(), flow("a"), deadline)
 	assert.ErrorIs(t, err, want)
 }
 
@@ -93,7 +93,7 @@
 			startedAt := clock.New().Now()
 			require.ErrorIs(t, enter(t.Context(), q, "a"), ErrWaitedTooLong)
 			assert.Equal(t, 60*clock.Second, clock.New().Now()-startedAt)
-			_, waiting := q.Lengths()
+			_, waiting := q.QueueLengths()
 			assert.Zero(t, waiting)
 		})
 	})
@@ -101,13 +101,13 @@
 		now := clock.Millis(0)
 		q := NewQueue(settings(), func() int { return 1 }, func() clock.Millis { return now })
 		for range 10 {
-			permit, err := q.Enter(t.Context(), flow("a"), farDeadline)
+			permit, err := q.Acquire(t.Context(), flow("a"), farDeadline)
 			require.NoError(t, err)
 			now += 500
-			permit.Leave()
+			permit.Release()
 		}
 		require.NoError(t, enter(t.Context(), q, "a"))
-		_, err := q.Enter(t.Context(), flow("b"), now+100)
+		_, err := q.Acquire(t.Context(), flow("b"), now+100)
 		require.ErrorIs(t, err, ErrDeadline)
 		assert.Positive(t, q.ExpectedWaitMs(flow("b")))
 	})
@@ -119,7 +119,7 @@
 			go func() { done <- enter(t.Context(), q, "a") }()
 			synctest.Wait()
 			capacity = 1
-			q.Poke()
+			q.AdmitWaiting()
 			require.NoError(t, <-done)
 		})
 	})
@@ -130,15 +130,15 @@
 		demands := []float64{90, 5, 5, 0, 0, 0, 0, 0, 0}
 		sum := 0.0
 		for _, own := range demands {
-			sum += Demand{Own: own, Others: 100 - own, Boxes: 9, Heard: 8}.Part()
+			sum += Demand{Own: own, Others: 100 - own, Boxes: 9, KnownBoxes: 8}.Fraction()
 		}
 		assert.InDelta(t, 1, sum, 1e-9)
 	})
 	t.Run("follows demand to within a few percent", func(t *testing.T) {
-		assert.InDelta(t, 0.9, Demand{Own: 90, Others: 10, Boxes: 9, Heard: 8}.Part(), 0.03)
+		assert.InDelta(t, 0.9, Demand{Own: 90, Others: 10, Boxes: 9, KnownBoxes: 8}.Fraction(), 0.03)
 	})
 	t.Run("is the even share without contact to other boxes", func(t *testing.T) {
-		assert.InDelta(t, 1.0/9, Demand{Own: 90, Boxes: 9}.Part(), 1e-9)
+		assert.InDelta(t, 1.0/9, Demand{Own: 90, Boxes: 9}.Fraction(), 1e-9)
 	})
 }
 
@@ -147,16 +147,16 @@
 		for _, used := range [][]float64{{0, 0, 0}, {30, 2, 1}, {200, 50, 50}} {
 			sum, all := 0.0, used[0]+used[1]+used[2]
 			for _, own := range used {
-				sum += Slots{Own: own, Others: all - own, Boxes: 3, Heard: 2}.Part(100)
+				sum += Slots{Own: own, Others: all - own, Boxes: 3, KnownBoxes: 2}.Share(100)
 			}
 			assert.InDelta(t, 100, sum, 1e-9)
 		}
 	})
 	t.Run("leaves an idle box slots for a burst", func(t *testing.T) {
-		assert.InDelta(t, 20, Slots{Own: 0, Others: 40, Boxes: 3, Heard: 2}.Part(100), 1e-9)
+		assert.InDelta(t, 20, Slots{Own: 0, Others: 40, Boxes: 3, KnownBoxes: 2}.Share(100), 1e-9)
 	})
 	t.Run("is even when no other box's use is known", func(t *testing.T) {
-		assert.InDelta(t, 100.0/3, Slots{Boxes: 3}.Part(100), 1)
+		assert.InDelta(t, 100.0/3, Slots{Boxes: 3}.Share(100), 1)
 	})
 }
 
@@ -172,7 +172,7 @@
 		accepted := 0
 		for range 100 {
 			for range 10 {
-				if _, err := o.Enter(row); err == nil {
+				if _, err := o.Acquire(row); err == nil {
 					accepted++
 				} else {
 					require.ErrorIs(t, err, ErrRate)
@@ -185,9 +185,9 @@
 	t.Run("return the time to wait before a retry", func(t *testing.T) {
 		o := limits()
 		row := &table.Organisation{Name: "choir", RatePerS: 2}
-		_, err := o.Enter(row)
+		_, err := o.Acquire(row)
 		require.NoError(t, err)
-		wait, err := o.Enter(row)
+		wait, err := o.Acquire(row)
 		require.ErrorIs(t, err, ErrRate)
 		assert.InDelta(t, 1000, int64(wait), 2)
 	})
@@ -195,13 +195,13 @@
 		o := limits()
 		row := &table.Organisation{Name: "choir", MaxInFlight: 4}
 		for range 2 {
-			_, err := o.Enter(row)
+			_, err := o.Acquire(row)
 			require.NoError(t, err)
 		}
-		_, err := o.Enter(row)
+		_, err := o.Acquire(row)
 		require.ErrorIs(t, err, ErrConcurrency)
-		o.Leave("choir")
-		_, err = o.Enter(row)
+		o.Release("choir")
+		_, err = o.Acquire(row)
 		assert.NotErrorIs(t, err, ErrConcurrency)
 	})
 }
--- a/internal/limit/organisation.go
+++ b/internal/limit/organisation.go
@@ -42,9 +42,9 @@
 	return &Organisations{share: share, now: now, usages: map[string]*usage{}}
 }
 
-// Enter admits a request of an organisation, or refuses it with ErrRate or ErrConcurrency and the
-// time to wait before a retry. Leave must be called exactly once for each admitted request.
-func (o *Organisations) Enter(row *table.Organisation) (clock.Millis, error) {
+// Acquire admits a request of an organisation, or refuses it with ErrRate or ErrConcurrency and the
+// time to wait before a retry. Release must be called exactly once for each admitted request.
+func (o *Organisations) Acquire(row *table.Organisation) (clock.Millis, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	u := o.usage(row.Name)
@@ -102,8 +102,8 @@
 	return u
 }
 
-// Leave records that an admitted request has ended.
-func (o *Organisations) Leave(name string) {
+// Release records that an admitted request has ended.
+func (o *Organisations) Release(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if u := o.usages[name]; u != nil && u.inFlight > 0 {
--- a/internal/limit/queue.go
+++ b/internal/limit/queue.go
@@ -9,7 +9,7 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// Errors of Queue.Enter. A request that gets one of them has not run.
+// Errors of Queue.Acquire. A request that gets one of them has not run.
 var (
 	// ErrQueueFull means that the queue, or the organisation's part of it, is full.
 	ErrQueueFull = errors.New("queue full")
@@ -55,16 +55,16 @@
 	weight  int
 }
 
-// Permit allows one admitted request to run. Leave must be called exactly once when the request has
-// ended.
+// Permit allows one admitted request to run. Release must be called exactly once when the request
+// has ended.
 type Permit struct {
 	queue *Queue
 	flow  string
 }
 
-// Enter waits until the request is admitted. It fails with ErrQueueFull, ErrWaitedTooLong,
+// Acquire waits until the request is admitted. It fails with ErrQueueFull, ErrWaitedTooLong,
 // ErrDeadline or the cause of the context's end.
-func (q *Queue) Enter(ctx context.Context, flow Flow, deadline clock.Millis) (*Permit, error) {
+func (q *Queue) Acquire(ctx context.Context, flow Flow, deadline clock.Millis) (*Permit, error) {
 	w, err := q.enterOrQueue(flow, deadline)
 	if err != nil {
 		return nil, err
@@ -174,8 +174,8 @@
 	return cause
 }
 
-// Leave records that an admitted request has ended and admits the next ones.
-func (p *Permit) Leave() {
+// Release records that an admitted request has ended and admits the next ones.
+func (p *Permit) Release() {
 	q := p.queue
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -189,8 +189,8 @@
 	q.admit()
 }
 
-// Poke admits waiting requests after the pool's capacity has grown.
-func (q *Queue) Poke() {
+// AdmitWaiting admits waiting requests after the pool's capacity has grown.
+func (q *Queue) AdmitWaiting() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.admit()
@@ -206,8 +206,8 @@
 	}
 }
 
-// Lengths returns the numbers of running and waiting requests.
-func (q *Queue) Lengths() (running, waiting int) {
+// QueueLengths returns the numbers of running and waiting requests.
+func (q *Queue) QueueLengths() (running, waiting int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.running, q.waiting.length
--- a/internal/limit/split.go
+++ b/internal/limit/split.go
@@ -12,22 +12,22 @@
 	Others float64
 	// Boxes is the number of boxes in the fleet, including this one.
 	Boxes int
-	// Heard is the number of other boxes whose demand is known.
-	Heard int
+	// KnownBoxes is the number of other boxes whose demand is known.
+	KnownBoxes int
 }
 
-// Part returns the fraction of a fleet-wide limit that this box may use. The fractions of boxes
+// Fraction returns the fraction of a fleet-wide limit that this box may use. The fractions of boxes
 // with the same information add up to one. A box claims a part by demand only from the even shares
 // of the boxes whose demand it knows. Without contact to any other box it therefore gets its even
 // share, whatever its demand.
-func (d Demand) Part() float64 {
+func (d Demand) Fraction() float64 {
 	if d.Boxes <= 1 {
 		return 1
 	}
 	evenShare := 1 / float64(d.Boxes)
-	knownShare := float64(min(d.Heard, d.Boxes-1)+1) * evenShare
+	knownShare := float64(min(d.KnownBoxes, d.Boxes-1)+1) * evenShare
 	if total := d.Own + d.Others; total > 0 {
-		return knownShare * (demandFraction*d.Own/total + (1-demandFraction)/float64(d.Heard+1))
+		return knownShare * (demandFraction*d.Own/total + (1-demandFraction)/float64(d.KnownBoxes+1))
 	}
 	return evenShare
 }
@@ -40,17 +40,17 @@
 	Others float64
 	// Boxes is the number of boxes that share the slots, including this one.
 	Boxes int
-	// Heard is the number of other boxes whose use is known.
-	Heard int
+	// KnownBoxes is the number of other boxes whose use is known.
+	KnownBoxes int
 }
 
-// Part returns how many of the slots this box may use. The parts of boxes with the same information
+// Share returns how many of the slots this box may use. The parts of boxes with the same information
 // add up to all slots. While slots are free, a box gets what it uses plus an even part of the free
 // ones, so that a burst is admitted immediately. Otherwise each box gets a part in proportion to
 // its demand. Boxes whose use is unknown are assumed to use an even part.
-func (s Slots) Part(slots float64) float64 {
+func (s Slots) Share(slots float64) float64 {
 	boxes := float64(max(1, s.Boxes))
-	unknown := float64(max(0, s.Boxes-1-s.Heard))
+	unknown := float64(max(0, s.Boxes-1-s.KnownBoxes))
 	demand := s.Own + s.Others + unknown*slots/boxes
 	if demand <= slots {
 		return s.Own + (slots-demand)/(boxes-unknown)
--- a/internal/limit/surge_test.go
+++ b/internal/limit/surge_test.go
@@ -103,7 +103,7 @@
 		if s.endMs > r.now {
 			return false
 		}
-		(&Permit{queue: r.queue, flow: s.name}).Leave()
+		(&Permit{queue: r.queue, flow: s.name}).Release()
 		return true
 	})
 }
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -27,22 +27,22 @@
 // Verdict is the result of checking an answer.
 type Verdict string
 
-// Verdicts of an answer. Broken and the verdicts after it violate a guarantee.
+// Verdicts of an answer. ConnectionFailed and the verdicts after it violate a guarantee.
 const (
-	// Whole is a complete and correct answer.
-	Whole Verdict = "whole"
+	// Complete is a complete and correct answer.
+	Complete Verdict = "whole"
 	// Refused is an error response before any part of an answer.
 	Refused Verdict = "refused"
 	// Incomplete is an answer that ended in an explicit error event.
 	Incomplete Verdict = "incomplete"
-	// Broken is a connection that failed or was closed before the answer ended.
-	Broken Verdict = "broken"
-	// CutAsWhole is an incomplete answer that looked complete.
-	CutAsWhole Verdict = "cut-as-whole"
-	// Crossed is an answer that contains parts of another request's answer.
-	Crossed Verdict = "crossed"
-	// Doubled is an answer that contains a part twice.
-	Doubled Verdict = "doubled"
+	// ConnectionFailed is a connection that failed or was closed before the answer ended.
+	ConnectionFailed Verdict = "broken"
+	// Truncated is an incomplete answer that looked complete.
+	Truncated Verdict = "cut-as-whole"
+	// Mixed is an answer that contains parts of another request's answer.
+	Mixed Verdict = "crossed"
+	// Duplicated is an answer that contains a part twice.
+	Duplicated Verdict = "doubled"
 	// Late is a complete answer that arrived after the deadline.
 	Late Verdict = "late"
 )
@@ -84,11 +84,11 @@
 	start := c.Clock.Now()
 	request, err := chatRequest(ctx, r)
 	if err != nil {
-		return Result{Verdict: Broken, Err: err}
+		return Result{Verdict: ConnectionFailed, Err: err}
 	}
 	response, err := c.Client.Do(request)
 	if err != nil {
-		return Result{Verdict: Broken, Err: err, DurationMs: c.Clock.Now() - start}
+		return Result{Verdict: ConnectionFailed, Err: err, DurationMs: c.Clock.Now() - start}
 	}
 	defer func() { _ = response.Body.Close() }()
 	result := resultOf(response)
@@ -102,7 +102,7 @@
 		readBody(response.Body, r, &result)
 	}
 	result.DurationMs = c.Clock.Now() - start
-	if result.Verdict == Whole && r.DeadlineMs > 0 && result.DurationMs > r.DeadlineMs+lateMarginMs {
+	if result.Verdict == Complete && r.DeadlineMs > 0 && result.DurationMs > r.DeadlineMs+lateMarginMs {
 		result.Verdict = Late
 	}
 	return result
@@ -148,12 +148,12 @@
 func readBody(body io.Reader, r ChatRequest, result *Result) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		result.Verdict, result.Err = Broken, err
+		result.Verdict, result.Err = ConnectionFailed, err
 		return
 	}
 	var completion engine.Completion
 	if err := json.Unmarshal(data, &completion); err != nil || len(completion.Choices) == 0 || completion.Usage == nil {
-		result.Verdict, result.Err = CutAsWhole, errors.Join(errIncomplete, err)
+		result.Verdict, result.Err = Truncated, errors.Join(errIncomplete, err)
 		return
 	}
 	check := newTokenCheck(r.Mark)
@@ -166,7 +166,7 @@
 	reading := &streamReading{check: newTokenCheck(r.Mark), lastMs: start, startMs: start, result: result}
 	for event, err := range engine.Events(body) {
 		if err != nil {
-			result.Verdict, result.Err = Broken, err
+			result.Verdict, result.Err = ConnectionFailed, err
 			return
 		}
 		reading.recordTime(c.Clock.Now())
@@ -227,8 +227,8 @@
 		r.CachedTokens = usage.Details.CachedTokens
 	}
 	r.Verdict = check.verdict
-	if r.Verdict == Whole && (usage == nil || usage.CompletionTokens != check.next) {
-		r.Verdict = CutAsWhole
+	if r.Verdict == Complete && (usage == nil || usage.CompletionTokens != check.next) {
+		r.Verdict = Truncated
 	}
 }
 
@@ -240,29 +240,29 @@
 	verdict Verdict
 }
 
-func newTokenCheck(mark string) *tokenCheck { return &tokenCheck{mark: mark, verdict: Whole} }
+func newTokenCheck(mark string) *tokenCheck { return &tokenCheck{mark: mark, verdict: Complete} }
 
 func (t *tokenCheck) add(content string) {
 	for token := range strings.FieldsSeq(content) {
 		mark, number, _ := strings.Cut(token, ":")
 		index, err := strconv.Atoi(number)
 		switch {
-		case t.verdict != Whole:
+		case t.verdict != Complete:
 			return
 		case err != nil || mark != t.mark:
-			t.verdict = Crossed
+			t.verdict = Mixed
 		case index < t.next:
-			t.verdict = Doubled
+			t.verdict = Duplicated
 		case index > t.next:
-			t.verdict = CutAsWhole
+			t.verdict = Truncated
 		default:
 			t.next++
 		}
 	}
 }
 
-// Filing holds the parameters of a call of a plain service.
-type Filing struct {
+// ServiceCall holds the parameters of a call of a plain service.
+type ServiceCall struct {
 	URL        string
 	Key        string
 	Service    string
@@ -272,22 +272,22 @@
 	DeadlineMs clock.Millis
 }
 
-// File sends a non-idempotent call, as a POST request.
-func (c Caller) File(ctx context.Context, f Filing) Result {
+// Post sends a non-idempotent call, as a POST request.
+func (c Caller) Post(ctx context.Context, f ServiceCall) Result {
 	return c.callService(ctx, http.MethodPost, f)
 }
 
 // Get sends an idempotent call, as a GET request.
-func (c Caller) Get(ctx context.Context, f Filing) Result {
+func (c Caller) Get(ctx context.Context, f ServiceCall) Result {
 	return c.callService(ctx, http.MethodGet, f)
 }
 
-func (c Caller) callService(ctx context.Context, method string, f Filing) Result {
+func (c Caller) callService(ctx context.Context, method string, f ServiceCall) Result {
 	start := c.Clock.Now()
 	url := f.URL + "/services/" + f.Service + f.Path
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(f.Body))
 	if err != nil {
-		return Result{Verdict: Broken, Err: err}
+		return Result{Verdict: ConnectionFailed, Err: err}
 	}
 	request.Header.Set("Authorization", "Bearer "+f.Key)
 	if f.Idempotent != "" {
@@ -298,19 +298,19 @@
 	}
 	response, err := c.Client.Do(request)
 	if err != nil {
-		return Result{Verdict: Broken, Err: err, DurationMs: c.Clock.Now() - start}
+		return Result{Verdict: ConnectionFailed, Err: err, DurationMs: c.Clock.Now() - start}
 	}
 	defer func() { _ = response.Body.Close() }()
 	result := resultOf(response)
 	data, err := io.ReadAll(response.Body)
 	result.DurationMs = c.Clock.Now() - start
-	result.Verdict, result.Err = checkFiling(f, response.StatusCode, data, err)
+	result.Verdict, result.Err = checkServiceCall(f, response.StatusCode, data, err)
 	return result
 }
 
-func checkFiling(f Filing, status int, data []byte, err error) (Verdict, error) {
+func checkServiceCall(f ServiceCall, status int, data []byte, err error) (Verdict, error) {
 	if err != nil {
-		return Broken, err
+		return ConnectionFailed, err
 	}
 	if status >= http.StatusBadRequest {
 		return Refused, nil
@@ -320,10 +320,10 @@
 		Body string `json:"body"`
 	}
 	if err := json.Unmarshal(data, &reply); err != nil {
-		return CutAsWhole, err
+		return Truncated, err
 	}
 	if reply.Key != f.Idempotent || reply.Body != f.Body {
-		return Crossed, nil
+		return Mixed, nil
 	}
-	return Whole, nil
+	return Complete, nil
 }
--- a/internal/load/demo.go
+++ b/internal/load/demo.go
@@ -39,7 +39,7 @@
 // Demo starts a fleet of three boxes in two failure domains and sends chat sessions and non-idempotent service calls to
 // it. Meanwhile an edit drains one engine, another one crashes, and streams of a third one break. Demo prints its
 // measurements and returns the violated guarantees.
-func Demo(ctx context.Context, out io.Writer) ([]Breach, error) {
+func Demo(ctx context.Context, out io.Writer) ([]Violation, error) {
 	fleet, err := localfleet.Start(ctx, demoPlan())
 	if err != nil {
 		return nil, err
@@ -57,13 +57,13 @@
 		return nil, err
 	}
 	report.print(out)
-	return report.breaches, nil
+	return report.violations, nil
 }
 
-func demoPlan() localfleet.Plan {
-	speed := standin.DefaultSpeed()
+func demoPlan() localfleet.Config {
+	speed := standin.DefaultTiming()
 	speed.TokenMs = 10
-	return localfleet.Plan{
+	return localfleet.Config{
 		Domains: []string{"alfama", "belem"}, BoxesPerDomain: 2, EnginesPerDomain: 3, ServersPerDomain: 1,
 		Organisations: []localfleet.Organisation{
 			{Name: "federation", Columns: map[string]string{"weight": "300"}},
@@ -153,7 +153,7 @@
 		})
 		d.chats.Add(result)
 		d.checkDraining(result)
-		if result.Verdict == Whole {
+		if result.Verdict == Complete {
 			return
 		}
 		_ = d.caller.Clock.Sleep(ctx, demoRetryMs)
@@ -185,12 +185,12 @@
 
 func (d *demo) callServiceAt(ctx context.Context, box int, key string) {
 	for try := range demoMaxTries {
-		result := d.caller.File(ctx, Filing{
+		result := d.caller.Post(ctx, ServiceCall{
 			URL: d.boxURL(box + try), Key: localfleet.CallerKey("choir"), Service: localfleet.ServiceName,
 			Path: "/changes", Idempotent: key, Body: "change of " + key, DeadlineMs: demoDeadlineMs,
 		})
 		d.serviceCalls.Add(result)
-		if result.Verdict == Whole {
+		if result.Verdict == Complete {
 			return
 		}
 		_ = d.caller.Clock.Sleep(ctx, demoRetryMs)
@@ -283,7 +283,7 @@
 type demoReport struct {
 	chats, serviceCalls Summary
 	lines               [][2]string
-	breaches            []Breach
+	violations            []Violation
 }
 
 func (d *demo) report() *demoReport {
@@ -291,7 +291,7 @@
 	runs, repeated, neverRun := d.countRuns()
 	gossip, boxes := d.gossipBytes()
 	r.lines = [][2]string{
-		{"chats sent, with complete answers", fmt.Sprintf("%d, %d", r.chats.Requests, r.chats.Verdicts[Whole])},
+		{"chats sent, with complete answers", fmt.Sprintf("%d, %d", r.chats.Requests, r.chats.Verdicts[Complete])},
 		{
 			"chats refused, ended by an error event",
 			fmt.Sprintf("%d, %d", r.chats.Verdicts[Refused], r.chats.Verdicts[Incomplete]),
@@ -304,8 +304,8 @@
 		{"mean gossip bytes sent per box", fmt.Sprint(gossip / int64(max(1, boxes)))},
 		{"streams resumed", fmt.Sprint(d.counter("stream_resumes"))},
 	}
-	r.breaches = append(r.chats.Breaches(), r.serviceCalls.Breaches()...)
-	for _, b := range []Breach{
+	r.violations = append(r.chats.Violations(), r.serviceCalls.Violations()...)
+	for _, b := range []Violation{
 		{"a non-idempotent call ran more than once", repeated},
 		{"a non-idempotent call never ran", neverRun},
 		{"a request got no complete answer within its retries", int(d.unanswered.Load())},
@@ -313,7 +313,7 @@
 		{"the edit was not accepted", boolCount(d.verdict.Result != table.Accepted)},
 	} {
 		if b.Count > 0 {
-			r.breaches = append(r.breaches, b)
+			r.violations = append(r.violations, b)
 		}
 	}
 	return r
@@ -370,11 +370,11 @@
 	}
 	// Write errors are ignored: the output is a terminal or a buffer.
 	_ = w.Flush()
-	if len(r.breaches) == 0 {
+	if len(r.violations) == 0 {
 		fmt.Fprintln(out, "guarantees: all kept")
 		return
 	}
-	for _, b := range r.breaches {
+	for _, b := range r.violations {
 		fmt.Fprintln(out, "guarantee violated:", b)
 	}
 }
--- a/internal/load/latency.go
+++ b/internal/load/latency.go
@@ -19,17 +19,17 @@
 // LatencyResult holds the latencies of requests through a router and directly to the engines, both measured in the same
 // run, and the load at which they were measured.
 type LatencyResult struct {
-	// HeldPerSecond is the maximum throughput of the whole process in requests per second: the router, the callers and
+	// MaxRequestsPerSecond is the maximum throughput of the whole process in requests per second: the router, the callers and
 	// the stand-in engines share its cores.
-	HeldPerSecond  float64 `json:"held_per_second"`
-	PerSecond      float64 `json:"per_second"`
-	Cores          int     `json:"cores"`
-	DirectP50Us    int64   `json:"direct_p50_us"`
-	DirectP99Us    int64   `json:"direct_p99_us"`
-	RoutedP50Us    int64   `json:"routed_p50_us"`
-	RoutedP99Us    int64   `json:"routed_p99_us"`
-	AllocsPerHeld  float64 `json:"allocations_per_request_whole_process"`
-	StreamsPerHeld float64 `json:"streams_held_per_second"`
+	MaxRequestsPerSecond float64 `json:"held_per_second"`
+	PerSecond            float64 `json:"per_second"`
+	Cores                int     `json:"cores"`
+	DirectP50Us          int64   `json:"direct_p50_us"`
+	DirectP99Us          int64   `json:"direct_p99_us"`
+	RoutedP50Us          int64   `json:"routed_p50_us"`
+	RoutedP99Us          int64   `json:"routed_p99_us"`
+	AllocsPerRequest     float64 `json:"allocations_per_request_whole_process"`
+	MaxStreamsPerSecond  float64 `json:"streams_held_per_second"`
 }
 
 // Parameters of the latency run.
@@ -56,9 +56,9 @@
 		l.caller = Caller{Client: l.dest.client, Clock: clock.New()}
 		return l.measure(ctx, perSecond), nil
 	}
-	speed := standin.DefaultSpeed()
+	speed := standin.DefaultTiming()
 	speed.TokenMs, speed.PrefillTokensPerMs, speed.Slots = 0, 1_000_000, 100_000
-	fleet, err := localfleet.Start(ctx, localfleet.Plan{
+	fleet, err := localfleet.Start(ctx, localfleet.Config{
 		Domains: []string{"north"}, BoxesPerDomain: 1, EnginesPerDomain: 4,
 		Organisations: []localfleet.Organisation{{Name: "choir"}}, Speed: speed,
 	})
@@ -75,12 +75,12 @@
 
 func (l *latencyRun) measure(ctx context.Context, perSecond float64) LatencyResult {
 	result := LatencyResult{Cores: runtime.NumCPU()}
-	result.HeldPerSecond, result.AllocsPerHeld = l.measureThroughput(ctx, false)
-	result.StreamsPerHeld, _ = l.measureThroughput(ctx, true)
+	result.MaxRequestsPerSecond, result.AllocsPerRequest = l.measureThroughput(ctx, false)
+	result.MaxStreamsPerSecond, _ = l.measureThroughput(ctx, true)
 	l.warmUp(ctx)
 	result.PerSecond = perSecond
 	if perSecond == 0 {
-		result.PerSecond = loadFraction * result.HeldPerSecond
+		result.PerSecond = loadFraction * result.MaxRequestsPerSecond
 	}
 	direct, routed := l.openLoop(ctx, result.PerSecond)
 	const median, p99 = 50, 99
@@ -135,7 +135,7 @@
 	for range latencyWorkers {
 		group.Go(func() {
 			for time.Now().Before(end) {
-				if l.chat(ctx, false, stream).Verdict == Whole {
+				if l.chat(ctx, false, stream).Verdict == Complete {
 					done.Add(1)
 				}
 			}
@@ -184,7 +184,7 @@
 					if i%directEvery == 0 {
 						histogram = direct
 					}
-					if l.chat(ctx, histogram == direct, false).Verdict == Whole {
+					if l.chat(ctx, histogram == direct, false).Verdict == Complete {
 						record(histogram, due)
 					}
 				})
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -22,8 +22,8 @@
 	EnginesPerDomain int
 	ServersPerDomain int
 	Organisations    []localfleet.Organisation
-	// FilingPart is the fraction of requests that are non-idempotent service calls.
-	FilingPart float64
+	// ServiceCallFraction is the fraction of requests that are non-idempotent service calls.
+	ServiceCallFraction float64
 }
 
 // Deployments returns the known deployments of the users.
@@ -31,11 +31,11 @@
 	return []Deployment{
 		{
 			Name: "mares", Domains: []string{"alvalade", "belem", "chiado"}, BoxesPerDomain: 3,
-			EnginesPerDomain: 13, ServersPerDomain: 1, Organisations: tenOrganisations("choir"), FilingPart: 0.05,
+			EnginesPerDomain: 13, ServersPerDomain: 1, Organisations: tenOrganisations("choir"), ServiceCallFraction: 0.05,
 		},
 		{
 			Name: "intake", Domains: []string{"hall-1", "hall-2", "hall-3"}, BoxesPerDomain: 3,
-			EnginesPerDomain: 13, ServersPerDomain: 1, Organisations: tenOrganisations("county"), FilingPart: 0.2,
+			EnginesPerDomain: 13, ServersPerDomain: 1, Organisations: tenOrganisations("county"), ServiceCallFraction: 0.2,
 		},
 	}
 }
@@ -77,20 +77,20 @@
 
 // RunResult holds the measurements of a run.
 type RunResult struct {
-	Deployment string  `json:"deployment"`
-	Policy     string  `json:"policy"`
-	Chats      Summary `json:"chats"`
-	Filings    Summary `json:"filings"`
+	Deployment   string  `json:"deployment"`
+	Policy       string  `json:"policy"`
+	Chats        Summary `json:"chats"`
+	ServiceCalls Summary `json:"filings"`
 	// Skew is the ratio of the busiest engine's requests in flight to the mean of its failure domain, in the worst window
 	// of one second. Excess is the largest number of requests by which an engine exceeded 1.25 times the mean.
 	Skew   float64 `json:"skew"`
 	Excess float64 `json:"excess"`
 	// ControlBytes, GossipBytes and GrantBytes are bytes per second in both directions at the busiest box: on all control
 	// connections, for gossip, and for grants.
-	ControlBytes float64  `json:"control_bytes_per_second"`
-	GossipBytes  float64  `json:"gossip_bytes_per_second"`
-	GrantBytes   float64  `json:"grant_bytes_per_second"`
-	Breaches     []Breach `json:"breaches"`
+	ControlBytes float64     `json:"control_bytes_per_second"`
+	GossipBytes  float64     `json:"gossip_bytes_per_second"`
+	GrantBytes   float64     `json:"grant_bytes_per_second"`
+	Violations   []Violation `json:"breaches"`
 }
 
 // Parameters of the requests of a run.
@@ -112,7 +112,7 @@
 		r.run(ctx, progress)
 		return r.result(), nil
 	}
-	fleet, err := localfleet.Start(ctx, localfleet.Plan{
+	fleet, err := localfleet.Start(ctx, localfleet.Config{
 		Domains: plan.Deployment.Domains, BoxesPerDomain: plan.Deployment.BoxesPerDomain,
 		EnginesPerDomain: plan.Deployment.EnginesPerDomain, ServersPerDomain: plan.Deployment.ServersPerDomain,
 		Organisations: plan.Deployment.Organisations, Speed: runSpeed(),
@@ -127,8 +127,8 @@
 	return result, fleet.Stop()
 }
 
-func runSpeed() standin.EngineSpeed {
-	speed := standin.DefaultSpeed()
+func runSpeed() standin.EngineTiming {
+	speed := standin.DefaultTiming()
 	speed.TokenMs = 32
 	speed.PrefillTokensPerMs = 4
 	speed.CacheTokens = 30_000
@@ -224,7 +224,7 @@
 
 func (r *runner) send(ctx context.Context, number int, due clock.Millis) {
 	box := r.random.IntN(len(r.dest.urls))
-	if r.dest.service != "" && r.random.Float64() < r.plan.Deployment.FilingPart {
+	if r.dest.service != "" && r.random.Float64() < r.plan.Deployment.ServiceCallFraction {
 		key := fmt.Sprintf("filing-%d", number)
 		r.mu.Lock()
 		r.keys = append(r.keys, key)
@@ -278,7 +278,7 @@
 			Chat:       engine.Chat{Model: r.dest.model, Messages: s.messages, Stream: true, MaxTokens: runTokens},
 		})
 		r.chats.AddDelayed(result, max(0, delay))
-		if result.Verdict == Whole || ctx.Err() != nil {
+		if result.Verdict == Complete || ctx.Err() != nil {
 			break
 		}
 		_ = r.caller.Clock.Sleep(ctx, demoRetryMs)
@@ -292,13 +292,13 @@
 func (r *runner) callService(ctx context.Context, box int, key string, due clock.Millis) {
 	for try := range runMaxTries {
 		delay := r.caller.Clock.Now() - due
-		result := r.caller.File(ctx, Filing{
+		result := r.caller.Post(ctx, ServiceCall{
 			URL: r.boxURL(box + try), Key: r.dest.key(r.plan.Deployment.Organisations[0].Name),
 			Service: r.dest.service, Path: "/filings", Idempotent: key, Body: "report " + key,
 			DeadlineMs: runDeadlineMs,
 		})
 		r.serviceCalls.AddDelayed(result, max(0, delay))
-		if result.Verdict == Whole || ctx.Err() != nil {
+		if result.Verdict == Complete || ctx.Err() != nil {
 			return
 		}
 		_ = r.caller.Clock.Sleep(ctx, demoRetryMs)
@@ -346,7 +346,7 @@
 func (r *runner) result() RunResult {
 	result := RunResult{
 		Deployment: r.plan.Deployment.Name, Policy: r.plan.Policy,
-		Chats: r.chats.Summary(), Filings: r.serviceCalls.Summary(), Skew: r.skew.worst, Excess: r.skew.excess,
+		Chats: r.chats.Summary(), ServiceCalls: r.serviceCalls.Summary(), Skew: r.skew.worst, Excess: r.skew.excess,
 	}
 	seconds := float64(r.duration) / float64(clock.Second)
 	for name, after := range r.controlBytes() {
@@ -355,7 +355,7 @@
 		result.GossipBytes = max(result.GossipBytes, float64(spent.gossip)/seconds)
 		result.GrantBytes = max(result.GrantBytes, float64(spent.grants)/seconds)
 	}
-	result.Breaches = append(result.Chats.Breaches(), result.Filings.Breaches()...)
+	result.Violations = append(result.Chats.Violations(), result.ServiceCalls.Violations()...)
 	doubled := 0
 	for _, key := range r.keys {
 		if r.dest.fleet != nil && r.dest.fleet.Ledger.Runs(key) > 1 {
@@ -363,8 +363,8 @@
 		}
 	}
 	if doubled > 0 {
-		breach := Breach{Description: "a non-idempotent call ran more than once", Count: doubled}
-		result.Breaches = append(result.Breaches, breach)
+		violation := Violation{Description: "a non-idempotent call ran more than once", Count: doubled}
+		result.Violations = append(result.Violations, violation)
 	}
 	return result
 }
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -57,7 +57,7 @@
 	t.outcomes[r.Outcome]++
 	t.statuses[r.Status]++
 	t.attempts += r.Attempts
-	if r.Verdict != Whole {
+	if r.Verdict != Complete {
 		return
 	}
 	t.upstreams[r.Upstream]++
@@ -132,29 +132,29 @@
 	return result
 }
 
-// Breach is a violated guarantee and the number of its violations. The JSON names are part of the printed result and
+// Violation is a violated guarantee and the number of its violations. The JSON names are part of the printed result and
 // must not change.
-type Breach struct {
+type Violation struct {
 	Description string `json:"promise"`
 	Count       int    `json:"count"`
 }
 
-// String returns the breach as a line of text.
-func (b Breach) String() string { return fmt.Sprintf("%s: %d", b.Description, b.Count) }
+// String returns the violation as a line of text.
+func (b Violation) String() string { return fmt.Sprintf("%s: %d", b.Description, b.Count) }
 
-// Breaches returns the breaches that can be detected in the answers alone.
-func (s Summary) Breaches() []Breach {
-	breaches := []Breach{}
-	for _, b := range []Breach{
-		{"an incomplete answer looked complete", s.Verdicts[CutAsWhole]},
-		{"an answer contained parts of another request's answer", s.Verdicts[Crossed]},
-		{"an answer contained a part twice", s.Verdicts[Doubled]},
+// Violations returns the violations that can be detected in the answers alone.
+func (s Summary) Violations() []Violation {
+	violations := []Violation{}
+	for _, b := range []Violation{
+		{"an incomplete answer looked complete", s.Verdicts[Truncated]},
+		{"an answer contained parts of another request's answer", s.Verdicts[Mixed]},
+		{"an answer contained a part twice", s.Verdicts[Duplicated]},
 		{"an answer arrived after its deadline", s.Verdicts[Late]},
-		{"a connection failed before the answer ended", s.Verdicts[Broken]},
+		{"a connection failed before the answer ended", s.Verdicts[ConnectionFailed]},
 	} {
 		if b.Count > 0 {
-			breaches = append(breaches, b)
+			violations = append(violations, b)
 		}
 	}
-	return breaches
+	return violations
 }
--- a/internal/localfleet/control_test.go
+++ b/internal/localfleet/control_test.go
@@ -67,7 +67,7 @@
 	t.Run("reach a failure domain without a connection to the platform through another one", func(t *testing.T) {
 		run(t, func(tf *testFleet) {
 			tf.wait(10_000)
-			tf.network.SetCut(func(from, to string) bool {
+			tf.network.SetPartition(func(from, to string) bool {
 				return strings.HasPrefix(from, "south") && to == localfleet.HostPlatform
 			})
 			tf.wait(2000)
@@ -126,7 +126,7 @@
 			tf.Platform.Boxes.SetDown(true)
 			tf.wait(60_000)
 			for box := range tf.Boxes() {
-				assert.Equal(tf.t, load.Whole, tf.chat(box, "s", "a").Verdict)
+				assert.Equal(tf.t, load.Complete, tf.chat(box, "s", "a").Verdict)
 			}
 		})
 	})
@@ -138,7 +138,7 @@
 			require.NoError(tf.t, err)
 			tf.wait(10_000)
 			assert.True(tf.t, added.Ready())
-			assert.Equal(tf.t, load.Whole, tf.chat(len(tf.Boxes())-1, "s", "a").Verdict)
+			assert.Equal(tf.t, load.Complete, tf.chat(len(tf.Boxes())-1, "s", "a").Verdict)
 		})
 	})
 }
@@ -191,14 +191,14 @@
 	t.Run("keeps serving chats with its own engines", func(t *testing.T) {
 		run(t, func(tf *testFleet) {
 			tf.wait(5000)
-			tf.network.SetCut(func(from, to string) bool {
+			tf.network.SetPartition(func(from, to string) bool {
 				inside := strings.HasPrefix(from, "south") == strings.HasPrefix(to, "south")
 				return !inside && from != localfleet.HostCallers && to != localfleet.HostCallers
 			})
 			tf.wait(30_000)
 			for box := range tf.Boxes() {
 				result := tf.chat(box, "s", "a")
-				assert.Equal(tf.t, load.Whole, result.Verdict, "%+v", result)
+				assert.Equal(tf.t, load.Complete, result.Verdict, "%+v", result)
 			}
 		}, withDomains("north", "south"))
 	})
@@ -240,8 +240,8 @@
 	for i := range 20 {
 		result := tf.chat(3, fmt.Sprint(i), "a")
 		results = append(results, result)
-		assert.NotEqual(tf.t, load.CutAsWhole, result.Verdict)
-		if result.Verdict == load.Whole {
+		assert.NotEqual(tf.t, load.Truncated, result.Verdict)
+		if result.Verdict == load.Complete {
 			completed++
 		}
 	}
@@ -278,7 +278,7 @@
 		before := e.Counts().Finished + e.Counts().Running
 		for i := range 40 {
 			result := tf.chat(i%len(tf.Boxes()), fmt.Sprint(i), "a")
-			assert.Equal(tf.t, load.Whole, result.Verdict)
+			assert.Equal(tf.t, load.Complete, result.Verdict)
 		}
 		assert.Equal(tf.t, before, e.Counts().Finished+e.Counts().Running)
 	}
@@ -318,7 +318,7 @@
 			require.NoError(tf.t, err)
 			assertNoNewWork(tf, tf.Engines()[0])
 			for range 10 {
-				assert.Equal(tf.t, load.Whole, (<-done).Verdict)
+				assert.Equal(tf.t, load.Complete, (<-done).Verdict)
 			}
 		}, withBoxes(3))
 	})
@@ -347,8 +347,8 @@
 			tf.wait(30_000)
 			orders := tf.Engines()[0].Orders()
 			assert.ElementsMatch(tf.t, []string{localfleet.Model, "second"}, orders.Models)
-			assert.Len(tf.t, orders.Taken, 1)
-			assert.Positive(tf.t, orders.Taken[0].Token)
+			assert.Len(tf.t, orders.Accepted, 1)
+			assert.Positive(tf.t, orders.Accepted[0].Token)
 			assert.Zero(tf.t, orders.Overlaps)
 		})
 	})
@@ -357,9 +357,9 @@
 			tf.wait(30_000)
 			serve(tf, localfleet.Model+";second")
 			tf.Platform.Log.SetFaults(func(f *standin.LogFaults) { f.Down = true })
-			before := len(tf.Engines()[0].Orders().Taken)
+			before := len(tf.Engines()[0].Orders().Accepted)
 			tf.wait(60_000)
-			assert.LessOrEqual(tf.t, len(tf.Engines()[0].Orders().Taken), before+1)
+			assert.LessOrEqual(tf.t, len(tf.Engines()[0].Orders().Accepted), before+1)
 		})
 	})
 	t.Run("are issued by another box with a higher fencing token when the lease holder dies", func(t *testing.T) {
@@ -380,8 +380,8 @@
 			require.NoError(tf.t, err)
 			tf.wait(20_000)
 			orders := tf.Engines()[0].Orders()
-			require.Len(tf.t, orders.Taken, 2)
-			assert.Greater(tf.t, orders.Taken[1].Token, orders.Taken[0].Token)
+			require.Len(tf.t, orders.Accepted, 2)
+			assert.Greater(tf.t, orders.Accepted[1].Token, orders.Accepted[0].Token)
 			assert.Equal(tf.t, []string{localfleet.Model}, orders.Models)
 		})
 	})
@@ -432,7 +432,7 @@
 
 // get sends an idempotent request and reports whether it was admitted.
 func (tf *testFleet) get(box int) bool {
-	result := tf.caller.Get(tf.t.Context(), load.Filing{
+	result := tf.caller.Get(tf.t.Context(), load.ServiceCall{
 		URL: tf.url(box), Key: localfleet.CallerKey("choir"), Service: localfleet.ServiceName, Path: "/rota",
 	})
 	return result.Status == 200
--- a/internal/localfleet/edges_test.go
+++ b/internal/localfleet/edges_test.go
@@ -22,7 +22,7 @@
 )
 
 func withEngines(count int) planOption {
-	return func(p *localfleet.Plan) { p.EnginesPerDomain = count }
+	return func(p *localfleet.Config) { p.EnginesPerDomain = count }
 }
 
 func TestRetries(t *testing.T) {
@@ -38,7 +38,7 @@
 		attemptsBefore, requestsBefore := sum()
 		for i := range chats {
 			result := tf.chat(i%len(tf.Boxes()), fmt.Sprint(i), "a")
-			assert.Equal(tf.t, load.Whole, result.Verdict, "%+v", result)
+			assert.Equal(tf.t, load.Complete, result.Verdict, "%+v", result)
 		}
 		attemptsAfter, requestsAfter := sum()
 		return float64(attemptsAfter-attemptsBefore) / float64(requestsAfter-requestsBefore)
@@ -86,7 +86,7 @@
 			go func() { results <- tf.file(0, "k") }()
 			// The key's claim window of 2 s passes, so that the second request wins the claim again.
 			tf.wait(4000)
-			assert.Equal(tf.t, load.Whole, tf.file(1, "k").Verdict)
+			assert.Equal(tf.t, load.Complete, tf.file(1, "k").Verdict)
 			first := <-results
 			assert.EqualValues(tf.t, "not-run", first.Outcome, "%+v", first)
 			assert.Equal(tf.t, 1, tf.Ledger.Runs("k"))
@@ -107,7 +107,7 @@
 			tf.wait(10_000)
 			for i := range 10 {
 				key := fmt.Sprint("k", i)
-				assert.Equal(tf.t, load.Whole, tf.file(i%4, key).Verdict)
+				assert.Equal(tf.t, load.Complete, tf.file(i%4, key).Verdict)
 				assert.Equal(tf.t, 1, tf.Ledger.Runs(key))
 			}
 			for _, e := range tf.Engines() {
@@ -117,7 +117,7 @@
 			}
 			completed := 0
 			for i := range 10 {
-				completed += boolInt(tf.chat(3, fmt.Sprint(i), "a").Verdict == load.Whole)
+				completed += boolInt(tf.chat(3, fmt.Sprint(i), "a").Verdict == load.Complete)
 			}
 			assert.Positive(tf.t, completed)
 		}, withDomains("north", "south"), withSettings(func(s *config.Router) { s.Peers.TLS = files }))
@@ -131,7 +131,7 @@
 			result := tf.chat(0, "s", "a", func(r *load.ChatRequest) {
 				r.Headers = map[string]string{"Traceparent": "00-" + traceID + "-b7ad6b7169203331-01"}
 			})
-			require.Equal(tf.t, load.Whole, result.Verdict)
+			require.Equal(tf.t, load.Complete, result.Verdict)
 			seen := ""
 			for _, e := range tf.Engines() {
 				seen += e.LastTraceparent()
@@ -161,7 +161,7 @@
 				_ = response.Body.Close()
 				status <- response.StatusCode
 			}()
-			assert.Equal(tf.t, load.Whole, tf.chat(0, "s", "a").Verdict)
+			assert.Equal(tf.t, load.Complete, tf.chat(0, "s", "a").Verdict)
 			assert.Equal(tf.t, http.StatusRequestTimeout, <-status)
 		}, withSettings(func(s *config.Router) { s.Request.BodyTimeoutMs = 2000 }))
 	})
@@ -218,6 +218,6 @@
 			assert.Equal(tf.t, http.StatusServiceUnavailable, result.Status)
 			assert.EqualValues(tf.t, "not-run", result.Outcome)
 			assert.NotEmpty(tf.t, result.RetryAfter)
-		}, func(p *localfleet.Plan) { p.Speed.Slots = 2 })
+		}, func(p *localfleet.Config) { p.Speed.Slots = 2 })
 	})
 }
--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -35,22 +35,22 @@
 	ServiceName = "rota"
 )
 
-// Plan describes the fleet to start.
-type Plan struct {
+// Config describes the fleet to start.
+type Config struct {
 	// Domains are the names of the failure domains. The counts below apply to each of them.
 	Domains          []string
 	BoxesPerDomain   int
 	EnginesPerDomain int
 	ServersPerDomain int
 	Organisations    []Organisation
-	Speed            standin.EngineSpeed
+	Speed            standin.EngineTiming
 	// Settings, if set, modifies the settings of each box before it starts.
 	Settings func(settings *config.Router)
-	// BoxListLagMs is the time by which the platform's box list lags behind.
-	BoxListLagMs clock.Millis
+	// BoxListDelayMs is the time by which the platform's box list lags behind.
+	BoxListDelayMs clock.Millis
 }
 
-// Organisation is an organisation of a plan. Columns that are not set keep their defaults.
+// Organisation is an organisation of a Config. Columns that are not set keep their defaults.
 type Organisation struct {
 	Name    string
 	Columns map[string]string
@@ -62,9 +62,9 @@
 // Fleet is a running fleet.
 type Fleet struct {
 	Platform *standin.Platform
-	Ledger   *standin.RunLedger
+	Ledger   *standin.RunCounter
 
-	plan    Plan
+	plan    Config
 	clock   clock.Clock
 	logger  *zap.Logger
 	network func(host string) Network
@@ -158,9 +158,9 @@
 )
 
 // Start starts a fleet and waits until every box has read the table. Stop must be called to release its resources.
-func Start(ctx context.Context, plan Plan, options ...Option) (*Fleet, error) {
+func Start(ctx context.Context, plan Config, options ...Option) (*Fleet, error) {
 	f := &Fleet{
-		Ledger: standin.NewRunLedger(), plan: plan, clock: clock.New(), logger: zap.NewNop(), network: loopback,
+		Ledger: standin.NewRunCounter(), plan: plan, clock: clock.New(), logger: zap.NewNop(), network: loopback,
 		beforeBoxes: func(*Fleet) {},
 	}
 	for _, option := range options {
@@ -229,7 +229,7 @@
 	f.Platform = standin.NewPlatform(
 		standin.NewLog(standin.WithLogClock(f.clock), standin.WithRetention(logRetentionMs)),
 		standin.NewWeights(f.clock, loadsPerMinute),
-		standin.NewBoxes(f.clock, f.plan.BoxListLagMs),
+		standin.NewBoxes(f.clock, f.plan.BoxListDelayMs),
 	)
 	var err error
 	_, f.platformAddress, err = f.serve(HostPlatform, f.Platform)
@@ -253,7 +253,7 @@
 }
 
 func (f *Fleet) startEngine(domain, name string) error {
-	fake := standin.NewEngine(name, []string{Model}, standin.WithEngineClock(f.clock), standin.WithSpeed(f.plan.Speed))
+	fake := standin.NewEngine(name, []string{Model}, standin.WithEngineClock(f.clock), standin.WithTiming(f.plan.Speed))
 	httpServer, address, err := f.serve(name, fake)
 	if err != nil {
 		return err
--- a/internal/localfleet/fleet_test.go
+++ b/internal/localfleet/fleet_test.go
@@ -28,22 +28,22 @@
 	caller  load.Caller
 }
 
-type planOption func(*localfleet.Plan)
+type planOption func(*localfleet.Config)
 
 func withDomains(domains ...string) planOption {
-	return func(p *localfleet.Plan) { p.Domains = domains }
+	return func(p *localfleet.Config) { p.Domains = domains }
 }
 
 func withSettings(change func(*config.Router)) planOption {
-	return func(p *localfleet.Plan) { p.Settings = change }
+	return func(p *localfleet.Config) { p.Settings = change }
 }
 
 func withBoxes(count int) planOption {
-	return func(p *localfleet.Plan) { p.BoxesPerDomain = count }
+	return func(p *localfleet.Config) { p.BoxesPerDomain = count }
 }
 
 // run runs a test on a fake clock against a fleet of one failure domain with two boxes, two engines and one server,
-// unless the options change the plan.
+// unless the options change the settings.
 func run(t *testing.T, test func(tf *testFleet), options ...planOption) {
 	t.Helper()
 	runAfter(t, func(*localfleet.Fleet) {}, test, options...)
@@ -55,9 +55,9 @@
 ) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		plan := localfleet.Plan{
+		plan := localfleet.Config{
 			Domains: []string{"north"}, BoxesPerDomain: 2, EnginesPerDomain: 2, ServersPerDomain: 1,
-			Organisations: []localfleet.Organisation{{Name: "choir"}}, Speed: standin.DefaultSpeed(),
+			Organisations: []localfleet.Organisation{{Name: "choir"}}, Speed: standin.DefaultTiming(),
 		}
 		for _, option := range options {
 			option(&plan)
@@ -98,7 +98,7 @@
 }
 
 func (tf *testFleet) fileWithin(ctx context.Context, box int, key string) load.Result {
-	return tf.caller.File(ctx, load.Filing{
+	return tf.caller.Post(ctx, load.ServiceCall{
 		URL: tf.url(box), Key: localfleet.CallerKey("choir"), Service: localfleet.ServiceName,
 		Path: "/changes", Idempotent: key, Body: "change " + key, DeadlineMs: 20_000,
 	})
@@ -124,7 +124,7 @@
 		run(t, func(tf *testFleet) {
 			for box := range tf.Boxes() {
 				result := tf.chat(box, "s", fmt.Sprintf("m%d", box))
-				assert.Equal(tf.t, load.Whole, result.Verdict, "%+v", result)
+				assert.Equal(tf.t, load.Complete, result.Verdict, "%+v", result)
 			}
 		})
 	})
@@ -152,7 +152,7 @@
 				e.SetFaults(func(f *standin.EngineFaults) { f.CutAfter = 3 })
 			}
 			result := tf.chat(0, "s", "a")
-			assert.Equal(tf.t, load.Whole, result.Verdict, "%+v", result)
+			assert.Equal(tf.t, load.Complete, result.Verdict, "%+v", result)
 			assert.Equal(tf.t, 8, result.Tokens)
 		})
 	})
@@ -195,7 +195,7 @@
 			tf.Engines()[0].SetFaults(func(f *standin.EngineFaults) { f.CutShort = true })
 			for i := range 8 {
 				result := tf.chat(0, fmt.Sprint(i), "a", func(r *load.ChatRequest) { r.Chat.Stream = false })
-				assert.Equal(tf.t, load.Whole, result.Verdict, "%+v", result)
+				assert.Equal(tf.t, load.Complete, result.Verdict, "%+v", result)
 			}
 		})
 	})
@@ -236,7 +236,7 @@
 		run(t, func(tf *testFleet) {
 			group := sync.WaitGroup{}
 			for box := range tf.Boxes() {
-				group.Go(func() { assert.Equal(tf.t, load.Whole, tf.file(box, "k").Verdict) })
+				group.Go(func() { assert.Equal(tf.t, load.Complete, tf.file(box, "k").Verdict) })
 			}
 			group.Wait()
 			assert.Equal(tf.t, 1, tf.Ledger.Runs("k"))
@@ -256,7 +256,7 @@
 	})
 	t.Run("on a reused connection that breaks are sent once", func(t *testing.T) {
 		run(t, func(tf *testFleet) {
-			require.Equal(tf.t, load.Whole, tf.file(0, "warm").Verdict)
+			require.Equal(tf.t, load.Complete, tf.file(0, "warm").Verdict)
 			tf.Services()[0].SetFaults(func(f *standin.ServerFaults) { f.DropAnswer = true })
 			tf.file(0, "k")
 			assert.Equal(tf.t, 1, tf.Ledger.Runs("k"))
@@ -270,15 +270,15 @@
 			assert.Zero(tf.t, tf.Ledger.Runs("k"))
 			tf.Platform.Log.SetFaults(func(f *standin.LogFaults) { f.Down = false })
 			tf.wait(3000)
-			assert.Equal(tf.t, load.Whole, tf.file(1, "k").Verdict)
+			assert.Equal(tf.t, load.Complete, tf.file(1, "k").Verdict)
 			assert.Equal(tf.t, 1, tf.Ledger.Runs("k"))
 		})
 	})
 	t.Run("run once when the claim's reply is lost", func(t *testing.T) {
 		run(t, func(tf *testFleet) {
 			tf.Platform.Log.SetFaults(func(f *standin.LogFaults) { f.LoseReplies = 2 })
-			assert.Equal(tf.t, load.Whole, tf.file(0, "k").Verdict)
-			assert.Equal(tf.t, load.Whole, tf.file(1, "k").Verdict)
+			assert.Equal(tf.t, load.Complete, tf.file(0, "k").Verdict)
+			assert.Equal(tf.t, load.Complete, tf.file(1, "k").Verdict)
 			assert.Equal(tf.t, 1, tf.Ledger.Runs("k"))
 		})
 	})
@@ -287,9 +287,9 @@
 			tf.Services()[0].SetFaults(func(f *standin.ServerFaults) { f.DelayMs = 2000 })
 			ctx, cancel := context.WithTimeout(tf.t.Context(), (500 * clock.Millis(1)).Duration())
 			defer cancel()
-			assert.Equal(tf.t, load.Broken, tf.fileWithin(ctx, 0, "k").Verdict)
+			assert.Equal(tf.t, load.ConnectionFailed, tf.fileWithin(ctx, 0, "k").Verdict)
 			tf.wait(3000)
-			assert.Equal(tf.t, load.Whole, tf.file(1, "k").Verdict)
+			assert.Equal(tf.t, load.Complete, tf.file(1, "k").Verdict)
 			assert.Equal(tf.t, 1, tf.Ledger.Runs("k"))
 		})
 	})
@@ -308,8 +308,8 @@
 	})
 	t.Run("with another body under the same key are refused", func(t *testing.T) {
 		run(t, func(tf *testFleet) {
-			require.Equal(tf.t, load.Whole, tf.file(0, "k").Verdict)
-			result := tf.caller.File(tf.t.Context(), load.Filing{
+			require.Equal(tf.t, load.Complete, tf.file(0, "k").Verdict)
+			result := tf.caller.Post(tf.t.Context(), load.ServiceCall{
 				URL: tf.url(1), Key: localfleet.CallerKey("choir"), Service: localfleet.ServiceName,
 				Path: "/changes", Idempotent: "k", Body: "something else",
 			})
@@ -326,7 +326,7 @@
 			for i := range 20 {
 				group.Go(func() {
 					result := tf.chat(0, fmt.Sprint(i), "a", func(r *load.ChatRequest) { r.Chat.MaxTokens = 400 })
-					assert.Equal(tf.t, load.Whole, result.Verdict, "%+v", result)
+					assert.Equal(tf.t, load.Complete, result.Verdict, "%+v", result)
 				})
 			}
 			tf.wait(200)
--- a/internal/localfleet/histories_test.go
+++ b/internal/localfleet/histories_test.go
@@ -56,13 +56,13 @@
 		server.SetFaults(func(f *standin.ServerFaults) { f.DelayMs = clock.Millis(parameter % 3000) })
 	case "partition a box from the platform":
 		box := h.Boxes()[parameter%3].Name
-		h.network.SetCut(func(from, to string) bool { return from == box && to == localfleet.HostPlatform })
+		h.network.SetPartition(func(from, to string) bool { return from == box && to == localfleet.HostPlatform })
 	case "partition boxes from each other":
-		h.network.SetCut(func(from, to string) bool {
+		h.network.SetPartition(func(from, to string) bool {
 			return strings.Contains(from, "-box-") && strings.Contains(to, "-box-")
 		})
 	case "heal partitions":
-		h.network.SetCut(func(string, string) bool { return false })
+		h.network.SetPartition(func(string, string) bool { return false })
 	case "kill a box":
 		h.Boxes()[0].Kill()
 	}
@@ -107,10 +107,10 @@
 		assert.LessOrEqual(h.t, runs, 1, "seed %d, %s, faults %v", seed, key, h.faults)
 		completed, notRun := 0, 0
 		for _, r := range results {
-			completed += boolInt(r.Verdict == load.Whole)
+			completed += boolInt(r.Verdict == load.Complete)
 			notRun += boolInt(r.Outcome == exchange.NotRun)
-			assert.NotEqual(h.t, load.Crossed, r.Verdict)
-			assert.NotEqual(h.t, load.CutAsWhole, r.Verdict)
+			assert.NotEqual(h.t, load.Mixed, r.Verdict)
+			assert.NotEqual(h.t, load.Truncated, r.Verdict)
 		}
 		if completed > 0 {
 			assert.Equal(h.t, 1, runs, "seed %d, %s got a complete answer, faults %v", seed, key, h.faults)
--- a/internal/membership/domains.go
+++ b/internal/membership/domains.go
@@ -13,9 +13,9 @@
 	lastSeenMs clock.Millis
 }
 
-// Foreign returns the boxes of other failure domains that this box heard of within a span, sorted
+// OtherDomainBoxes returns the boxes of other failure domains that this box heard of within a span, sorted
 // by name. They are not members.
-func (n *Node) Foreign(now, span clock.Millis) []Box {
+func (n *Node) OtherDomainBoxes(now, span clock.Millis) []Box {
 	boxes := []Box{}
 	for _, f := range n.foreign {
 		if now-f.lastSeenMs <= span {
@@ -61,9 +61,9 @@
 	return found
 }
 
-// TellSums returns the messages that send the summed facts of this failure domain to a box of
+// SendDomainFacts returns the messages that send the summed facts of this failure domain to a box of
 // another one. The version is the time in seconds, so that any box of the domain may send them.
-func (n *Node) TellSums(address string, domain ID, now clock.Millis, sums Facts) []Outgoing {
+func (n *Node) SendDomainFacts(address string, domain ID, now clock.Millis, sums Facts) []Outgoing {
 	n.sequence++
 	p := n.packet(kindDomainFacts, n.sequence)
 	p.Updates = []update{{ID: n.id, Incarnation: n.incarnation, Status: Alive, Box: &n.self}}
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -10,11 +10,11 @@
 	"dooryard.example/dooryard/internal/datagram"
 )
 
-// ChannelName is the first byte of membership datagrams.
-const ChannelName = 'm'
+// ChannelPrefix is the first byte of membership datagrams.
+const ChannelPrefix = 'm'
 
-// CodeBytes is the length of the truncated authentication code in membership datagrams.
-const CodeBytes = 8
+// MACBytes is the length of the truncated authentication code in membership datagrams.
+const MACBytes = 8
 
 // Gossip runs a Node over a socket. It is safe for concurrent use.
 type Gossip struct {
@@ -90,7 +90,7 @@
 
 func (g *Gossip) send(out []Outgoing) {
 	for _, o := range out {
-		g.socket.Send(ChannelName, o.Address, o.Body)
+		g.socket.Send(ChannelPrefix, o.Address, o.Body)
 	}
 }
 
@@ -113,11 +113,11 @@
 	g.node.SetContacts(addresses)
 }
 
-// SetListed replaces the platform's list of boxes in this failure domain.
-func (g *Gossip) SetListed(addresses map[string]string) {
+// SetKnownAddresses replaces the platform's list of boxes in this failure domain.
+func (g *Gossip) SetKnownAddresses(addresses map[string]string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.node.SetListed(addresses)
+	g.node.SetKnownAddresses(addresses)
 }
 
 // Leave notifies other boxes of a planned stop of this one.
@@ -156,17 +156,17 @@
 	return g.node.DomainFacts(g.clock.Now(), span)
 }
 
-// Foreign returns the boxes of other failure domains that this box heard of within a span.
-func (g *Gossip) Foreign(span clock.Millis) []Box {
+// OtherDomainBoxes returns the boxes of other failure domains that this box heard of within a span.
+func (g *Gossip) OtherDomainBoxes(span clock.Millis) []Box {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.node.Foreign(g.clock.Now(), span)
+	return g.node.OtherDomainBoxes(g.clock.Now(), span)
 }
 
-// TellSums sends the summed facts of this failure domain to a box of another one.
-func (g *Gossip) TellSums(address string, domain ID, sums Facts) {
+// SendDomainFacts sends the summed facts of this failure domain to a box of another one.
+func (g *Gossip) SendDomainFacts(address string, domain ID, sums Facts) {
 	g.mu.Lock()
-	out := g.node.TellSums(address, domain, g.clock.Now(), sums)
+	out := g.node.SendDomainFacts(address, domain, g.clock.Now(), sums)
 	g.mu.Unlock()
 	g.send(out)
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -135,9 +135,9 @@
 	return changed
 }
 
-// SetListed replaces the platform's list of gossip addresses by box name. The node sends join
+// SetKnownAddresses replaces the platform's list of gossip addresses by box name. The node sends join
 // requests to listed boxes that it does not know.
-func (n *Node) SetListed(addresses map[string]string) { n.listed = addresses }
+func (n *Node) SetKnownAddresses(addresses map[string]string) { n.listed = addresses }
 
 // SetContacts sets the addresses that are contacted while this box knows no other box of its
 // failure domain, or no box of another one.
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -14,7 +14,7 @@
 
 // envelopeBytes is what a datagram adds to the body: the channel's name and the authentication
 // code.
-const envelopeBytes = 1 + CodeBytes
+const envelopeBytes = 1 + MACBytes
 
 // domain simulates the boxes of one failure domain with a shared clock. Datagrams arrive a
 // millisecond after they were sent.
@@ -54,7 +54,7 @@
 	for i := range count {
 		self := Box{Name: boxName(i), Domain: "north", GossipAddress: address(i), PeerAddress: address(i)}
 		node := NewNode(self, uint32(d.now/clock.Second))
-		node.SetListed(listed)
+		node.SetKnownAddresses(listed)
 		d.nodes = append(d.nodes, node)
 	}
 	return d
@@ -212,7 +212,7 @@
 	require.Zero(t, d.viewers(1))
 	t.Run("rejoins with a new incarnation", func(t *testing.T) {
 		d.nodes[1] = NewNode(d.nodes[1].self, uint32(d.now/clock.Second))
-		d.nodes[1].SetListed(map[string]string{boxName(0): address(0)})
+		d.nodes[1].SetKnownAddresses(map[string]string{boxName(0): address(0)})
 		delete(d.dead, 1)
 		d.run(3 * clock.Second)
 		assert.Equal(t, 8, d.viewers(1))
@@ -258,19 +258,19 @@
 	t.Run("of another domain are kept for a limited time", func(t *testing.T) {
 		d := newDomain(t, 2)
 		remote := NewNode(Box{Name: "far", Domain: "south"}, 1)
-		out := remote.TellSums(address(0), NewID("south"), d.now, Facts{TableOffset: 5, Boxes: 3})
+		out := remote.SendDomainFacts(address(0), NewID("south"), d.now, Facts{TableOffset: 5, Boxes: 3})
 		_, err := d.nodes[0].Receive(d.now, "far", out[0].Body)
 		require.NoError(t, err)
 		assert.EqualValues(t, 3, d.nodes[0].DomainFacts(d.now, 1000)[NewID("south")].Boxes)
 		assert.Empty(t, d.nodes[0].DomainFacts(d.now+2000, 1000))
-		assert.Len(t, d.nodes[0].Foreign(d.now, 1000), 1)
+		assert.Len(t, d.nodes[0].OtherDomainBoxes(d.now, 1000), 1)
 		assert.Equal(t, []string{boxName(0)}, d.nodes[0].Live(), "the box is not a member")
 	})
 }
 
 func FuzzReceive(f *testing.F) {
 	node := NewNode(Box{Name: "a", Domain: "north"}, 1)
-	for _, out := range [][]Outgoing{node.Join("x"), node.TellSums("x", 1, 1, Facts{Boxes: 1})} {
+	for _, out := range [][]Outgoing{node.Join("x"), node.SendDomainFacts("x", 1, 1, Facts{Boxes: 1})} {
 		f.Add(out[0].Body)
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
--- a/internal/mesh/crash_events_test.go
+++ b/internal/mesh/crash_events_test.go
@@ -56,7 +56,7 @@
 		runInBubble(t, func(f *fixture) {
 			start(f, 2)
 			random := rand.New(rand.NewPCG(1, 2))
-			f.network.SetLoss(func() bool { return random.IntN(2) == 0 })
+			f.network.SetPacketLoss(func() bool { return random.IntN(2) == 0 })
 			for i := range 3 {
 				f.boxes[i%2].ledger.RecordCrash(fingerprint, namekey.Of("u"+strconv.Itoa(i)))
 			}
@@ -78,11 +78,11 @@
 		runInBubble(t, func(f *fixture) {
 			start(f, 4)
 			left := map[string]bool{"box-0": true, "box-1": true}
-			f.network.SetCut(func(from, to string) bool { return left[from] != left[to] })
+			f.network.SetPartition(func(from, to string) bool { return left[from] != left[to] })
 			recordThree(f)
 			advance(f.t, 5*time.Second)
 			assert.Zero(f.t, f.quarantining(fingerprint))
-			f.network.SetCut(func(string, string) bool { return false })
+			f.network.SetPartition(func(string, string) bool { return false })
 			advance(f.t, time.Second)
 			assert.Equal(f.t, 4, f.quarantining(fingerprint))
 		})
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -188,7 +188,7 @@
 			}
 			advance(f.t, 3*time.Second)
 			isolated := f.storeReaders()[0]
-			f.network.SetCut(func(from, to string) bool { return from == isolated || to == isolated })
+			f.network.SetPartition(func(from, to string) bool { return from == isolated || to == isolated })
 			advance(f.t, 4*time.Second)
 			assert.Len(t, f.storeReaders(), readersPerDomain+1, "the unreachable box still reads for itself")
 		})
@@ -308,7 +308,7 @@
 		runInBubble(t, func(f *fixture) {
 			t := f.t
 			random := rand.New(rand.NewPCG(1, 2))
-			f.network.SetLoss(func() bool { return random.IntN(5) == 0 })
+			f.network.SetPacketLoss(func() bool { return random.IntN(5) == 0 })
 			for range 6 {
 				f.start("d")
 			}
--- a/internal/mesh/permits_test.go
+++ b/internal/mesh/permits_test.go
@@ -93,7 +93,7 @@
 		assert.InEpsilon(t, f.fleetInFlight(), sum/len(f.boxes), 0.25, "the boxes' average estimate of all requests in flight")
 
 		requester := f.boxes[0]
-		f.network.SetCut(func(from, to string) bool { return from == requester.self.Box || to == requester.self.Box })
+		f.network.SetPartition(func(from, to string) bool { return from == requester.self.Box || to == requester.self.Box })
 		start := time.Now()
 		ok, release = requester.AcquirePermit(t.Context(), namekey.Of("u"), "d1", 0)
 		assert.True(t, ok, "a box whose request is not answered gets a permit")
--- a/internal/mesh/store_readers_test.go
+++ b/internal/mesh/store_readers_test.go
@@ -28,7 +28,7 @@
 			return
 		}
 		isolated := before[0].self.Box
-		f.network.SetCut(func(from, to string) bool { return from == isolated || to == isolated })
+		f.network.SetPartition(func(from, to string) bool { return from == isolated || to == isolated })
 		advance(t, 5*time.Second)
 		after := readers()
 		assert.Len(t, after, 2, "the isolated reader and its successor")
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -11,48 +11,48 @@
 type Metrics struct {
 	all *expvar.Map
 
-	Requests        *expvar.Int
-	Ran             *expvar.Int
-	NotRun          *expvar.Int
-	Unknown         *expvar.Int
-	Attempts        *expvar.Int
-	Retries         *expvar.Int
-	RetriesDenied   *expvar.Int
-	Resumes         *expvar.Int
-	CutStreams      *expvar.Int
-	CrossedAnswers  *expvar.Int
-	CallerGone      *expvar.Int
-	Queued          *expvar.Int
-	QueueRejected   *expvar.Int
-	LimitRejected   *expvar.Int
-	RemoteForwarded *expvar.Int
-	ClaimsWon       *expvar.Int
-	ClaimsLost      *expvar.Int
-	ClaimsRefused   *expvar.Int
-	EditsAccepted   *expvar.Int
-	EditsRejected   *expvar.Int
-	GossipSent      *expvar.Int
-	GossipReceived  *expvar.Int
-	GossipRejected  *expvar.Int
-	GrantsSent      *expvar.Int
-	GrantsReceived  *expvar.Int
-	PeerSent        *expvar.Int
-	PeerReceived    *expvar.Int
-	OrdersGiven     *expvar.Int
-	OrdersRefused   *expvar.Int
-	SnapshotsMade   *expvar.Int
-	SnapshotAlarms  *expvar.Int
+	Requests            *expvar.Int
+	OutcomeRan          *expvar.Int
+	OutcomeNotRun       *expvar.Int
+	OutcomeUnknown      *expvar.Int
+	Attempts            *expvar.Int
+	Retries             *expvar.Int
+	RetriesDenied       *expvar.Int
+	Resumes             *expvar.Int
+	TruncatedStreams    *expvar.Int
+	MismatchedResponses *expvar.Int
+	CallerDisconnects   *expvar.Int
+	Queued              *expvar.Int
+	QueueRejected       *expvar.Int
+	LimitRejected       *expvar.Int
+	RemoteForwarded     *expvar.Int
+	ClaimsWon           *expvar.Int
+	ClaimsLost          *expvar.Int
+	ClaimsRefused       *expvar.Int
+	EditsAccepted       *expvar.Int
+	EditsRejected       *expvar.Int
+	GossipSent          *expvar.Int
+	GossipReceived      *expvar.Int
+	GossipRejected      *expvar.Int
+	GrantsSent          *expvar.Int
+	GrantsReceived      *expvar.Int
+	PeerSent            *expvar.Int
+	PeerReceived        *expvar.Int
+	OrdersGiven         *expvar.Int
+	OrdersRefused       *expvar.Int
+	SnapshotsMade       *expvar.Int
+	SnapshotAlarms      *expvar.Int
 }
 
 // New returns counters set to zero.
 func New() *Metrics {
 	m := &Metrics{all: new(expvar.Map).Init()}
 	for name, target := range map[string]**expvar.Int{
-		"requests": &m.Requests, "outcome_ran": &m.Ran, "outcome_not_run": &m.NotRun,
-		"outcome_unknown": &m.Unknown, "upstream_attempts": &m.Attempts,
+		"requests": &m.Requests, "outcome_ran": &m.OutcomeRan, "outcome_not_run": &m.OutcomeNotRun,
+		"outcome_unknown": &m.OutcomeUnknown, "upstream_attempts": &m.Attempts,
 		"retries": &m.Retries, "retries_denied": &m.RetriesDenied,
-		"stream_resumes": &m.Resumes, "streams_cut": &m.CutStreams,
-		"answers_crossed": &m.CrossedAnswers, "callers_gone": &m.CallerGone,
+		"stream_resumes": &m.Resumes, "streams_cut": &m.TruncatedStreams,
+		"answers_crossed": &m.MismatchedResponses, "callers_gone": &m.CallerDisconnects,
 		"queued": &m.Queued, "queue_rejected": &m.QueueRejected,
 		"limit_rejected": &m.LimitRejected, "remote_forwarded": &m.RemoteForwarded,
 		"claims_won": &m.ClaimsWon, "claims_lost": &m.ClaimsLost,
--- a/internal/opclient/opclient.go
+++ b/internal/opclient/opclient.go
@@ -21,8 +21,8 @@
 var (
 	// ErrUnreachable means that no box sent a usable response.
 	ErrUnreachable = errors.New("no box responded")
-	// ErrRefused means that a box rejected the request.
-	ErrRefused = errors.New("request rejected")
+	// ErrRejected means that a box rejected the request.
+	ErrRejected = errors.New("request rejected")
 	// ErrVerdictUnknown means that an edit may still be applied.
 	ErrVerdictUnknown = errors.New("verdict unknown")
 )
@@ -46,14 +46,14 @@
 }
 
 // Table returns the whole table.
-func (c Client) Table(ctx context.Context) (operators.TableReply, error) {
-	return get[operators.TableReply](ctx, c, "/v1/table")
+func (c Client) Table(ctx context.Context) (operators.TableResponse, error) {
+	return get[operators.TableResponse](ctx, c, "/v1/table")
 }
 
 // Rows returns those of the named rows that exist in a sheet, or all rows if none are named.
 func (c Client) Rows(ctx context.Context, sheet string, rows ...string) (operators.Sheet, error) {
 	query := url.Values{"sheet": {sheet}, "row": rows}
-	reply, err := get[operators.TableReply](ctx, c, "/v1/table?"+query.Encode())
+	reply, err := get[operators.TableResponse](ctx, c, "/v1/table?"+query.Encode())
 	if err != nil {
 		return operators.Sheet{}, err
 	}
@@ -71,9 +71,9 @@
 // Explain returns the current ranking of a session's upstreams on a box.
 func (c Client) Explain(
 	ctx context.Context, organisation, session, model, service string,
-) (operators.ExplainReply, error) {
+) (operators.ExplainResponse, error) {
 	query := url.Values{"organisation": {organisation}, "session": {session}, "model": {model}, "service": {service}}
-	return get[operators.ExplainReply](ctx, c, "/v1/explain?"+query.Encode())
+	return get[operators.ExplainResponse](ctx, c, "/v1/explain?"+query.Encode())
 }
 
 // Statuses returns the status or the error of each of the client's boxes.
@@ -110,7 +110,7 @@
 	}
 	r, err := c.call(ctx, http.MethodPost, "/v1/table/edits", body)
 	if err != nil {
-		if errors.Is(err, ErrRefused) {
+		if errors.Is(err, ErrRejected) {
 			return table.Verdict{}, err
 		}
 		return table.Verdict{}, fmt.Errorf("%w: %w", ErrVerdictUnknown, err)
@@ -160,7 +160,7 @@
 	failures := []error{}
 	for _, boxURL := range c.URLs {
 		r, err := c.callOne(ctx, method, boxURL, path, body)
-		if err == nil || errors.Is(err, ErrRefused) {
+		if err == nil || errors.Is(err, ErrRejected) {
 			return r, err
 		}
 		failures = append(failures, fmt.Errorf("%s: %w", boxURL, err))
@@ -187,7 +187,7 @@
 func rejectionError(r response) error {
 	var body apierror.Body
 	if err := json.Unmarshal(r.body, &body); err != nil || body.Error.Message == "" {
-		return fmt.Errorf("%w: status %d", ErrRefused, r.status)
+		return fmt.Errorf("%w: status %d", ErrRejected, r.status)
 	}
-	return fmt.Errorf("%w: %s", ErrRefused, body.Error.Message)
+	return fmt.Errorf("%w: %s", ErrRejected, body.Error.Message)
 }
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -57,13 +57,13 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// TableReply is the response with the table or a part of it.
-type TableReply struct {
+// TableResponse is the response with the table or a part of it.
+type TableResponse struct {
 	Offset int64   `json:"offset"`
 	Sheets []Sheet `json:"sheets"`
 }
 
-// Sheet is one sheet of TableReply.
+// Sheet is one sheet of TableResponse.
 type Sheet struct {
 	Name    string   `json:"name"`
 	Columns []string `json:"columns"`
@@ -77,8 +77,8 @@
 }
 
 // NewTableReply returns the whole table of a state.
-func NewTableReply(state *table.State) TableReply {
-	reply := TableReply{Offset: state.Offset(), Sheets: []Sheet{}}
+func NewTableReply(state *table.State) TableResponse {
+	reply := TableResponse{Offset: state.Offset(), Sheets: []Sheet{}}
 	for _, name := range table.SheetNames() {
 		reply.Sheets = append(reply.Sheets, newSheet(state, name, state.RowNames(name)))
 	}
@@ -112,7 +112,7 @@
 	if len(rows) == 0 {
 		rows = state.RowNames(name)
 	}
-	jsonhttp.Write(w, TableReply{Offset: state.Offset(), Sheets: []Sheet{newSheet(state, name, rows)}})
+	jsonhttp.Write(w, TableResponse{Offset: state.Offset(), Sheets: []Sheet{newSheet(state, name, rows)}})
 }
 
 func (h *Handler) history(w http.ResponseWriter, _ *http.Request) {
@@ -181,8 +181,8 @@
 
 func (h *Handler) status(w http.ResponseWriter, _ *http.Request) { jsonhttp.Write(w, h.deps.Status()) }
 
-// ExplainReply is the current ranking of a session's upstreams on this box.
-type ExplainReply struct {
+// ExplainResponse is the current ranking of a session's upstreams on this box.
+type ExplainResponse struct {
 	Organisation string              `json:"organisation"`
 	Session      string              `json:"session"`
 	Pool         string              `json:"pool"`
@@ -191,7 +191,7 @@
 
 func (h *Handler) explain(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	reply := ExplainReply{Organisation: query.Get("organisation"), Session: query.Get("session")}
+	reply := ExplainResponse{Organisation: query.Get("organisation"), Session: query.Get("session")}
 	reply.Pool = pool.Name(table.KindEngine, query.Get("model"))
 	if service := query.Get("service"); service != "" {
 		reply.Pool = pool.Name(table.KindService, service)
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -45,9 +45,9 @@
 type Request struct {
 	Pool string
 	Key  route.Key
-	// Fresh is set for a new session, whose prefix can't be cached on any upstream.
-	Fresh bool
-	Tried pool.Tried
+	// FirstTurn is set for a new session, whose prefix can't be cached on any upstream.
+	FirstTurn bool
+	Tried     pool.Tried
 }
 
 // selection is the search of one request in progress.
@@ -73,7 +73,7 @@
 		s.members[member.Place] = member
 		open = append(open, member.Place)
 	}
-	s.search = grant.NewSearch(ranking.First.Place, open, r.Fresh)
+	s.search = grant.NewSearch(ranking.First.Place, open, r.FirstTurn)
 	return s.run(ctx)
 }
 
@@ -84,7 +84,7 @@
 			return s.forceLeastLoaded()
 		}
 		lease, reply := s.ask(ctx, question)
-		if s.search.Hear(question, reply) {
+		if s.search.HandleReply(question, reply) {
 			s.notifyFirstOwner(question.Place)
 			return lease, nil
 		}
@@ -96,20 +96,20 @@
 func (s *selection) ask(ctx context.Context, q grant.Question) (*pool.Lease, grant.Reply) {
 	member := s.members[q.Place]
 	owner := s.p.owner(member.Owner)
-	query := grant.Asking{Question: q, Session: s.session(), First: q.Place == s.first.Place}
-	if !q.Want {
+	query := grant.Query{Question: q, Session: s.session(), First: q.Place == s.first.Place}
+	if !q.WantSlot {
 		// Without an answer, the session is treated as one without a cached prefix.
 		reply, _ := s.p.agent.Ask(ctx, owner, query)
 		return nil, reply
 	}
 	reserved, found := s.p.pools.Reserve(s.request.Pool, member.Name)
 	if !found {
-		return nil, grant.Reply{Over: 1}
+		return nil, grant.Reply{Excess: 1}
 	}
-	query.Held, query.Total = reserved.Held, reserved.Total
+	query.InFlight, query.Total = reserved.InFlight, reserved.Total
 	reply, err := s.p.agent.Ask(ctx, owner, query)
 	if err != nil {
-		reply = grant.Reply{Granted: reserved.WithinOwnBound, Over: 1}
+		reply = grant.Reply{Granted: reserved.WithinLocalBound, Excess: 1}
 	}
 	if !reply.Granted {
 		reserved.Lease.Release(pool.Neutral)
@@ -123,15 +123,15 @@
 
 // notifyFirstOwner informs the owner of the first choice which place the session was sent to.
 func (s *selection) notifyFirstOwner(granted grant.Place) {
-	if s.search.News(granted) {
-		s.p.agent.News(s.p.owner(s.first.Owner), s.session(), granted)
+	if s.search.MustNotify(granted) {
+		s.p.agent.NotifyPlacement(s.p.owner(s.first.Owner), s.session(), granted)
 	}
 }
 
 // forceLeastLoaded takes the least loaded upstream that was asked when all are above the bound.
 // Refusing would reject a request that an engine can still queue.
 func (s *selection) forceLeastLoaded() (*pool.Lease, error) {
-	place, found := s.search.Least()
+	place, found := s.search.LeastLoaded()
 	if !found {
 		return nil, fmt.Errorf("%w: %s", route.ErrSaturated, s.request.Pool)
 	}
@@ -140,7 +140,7 @@
 	if !found {
 		return nil, fmt.Errorf("%w: %s", route.ErrNoUpstream, s.request.Pool)
 	}
-	s.p.agent.Hold(s.p.owner(member.Owner), place, reserved.Held)
+	s.p.agent.ReportInFlight(s.p.owner(member.Owner), place, reserved.InFlight)
 	s.p.reportOnRelease(member, reserved.Lease)
 	return reserved.Lease, nil
 }
@@ -149,11 +149,11 @@
 // to the place's owner when the lease is released.
 func (p *Picker) reportOnRelease(member pool.Member, lease *pool.Lease) {
 	p.recordReport(member)
-	lease.AfterRelease(func(held int) {
+	lease.OnRelease(func(held int) {
 		// The owner may have changed since the lease was taken.
 		member.Owner = p.pools.Owner(member.Place)
 		p.recordReport(member)
-		p.agent.Hold(p.owner(member.Owner), member.Place, held)
+		p.agent.ReportInFlight(p.owner(member.Owner), member.Place, held)
 	})
 }
 
@@ -176,7 +176,7 @@
 			continue
 		}
 		p.recordReport(inUse.Member)
-		p.agent.Hold(p.owner(inUse.Member.Owner), inUse.Member.Place, inUse.Held)
+		p.agent.ReportInFlight(p.owner(inUse.Member.Owner), inUse.Member.Place, inUse.InFlight)
 	}
 	p.evictOldReports(now)
 }
--- a/internal/pipe/admit/admit.go
+++ b/internal/pipe/admit/admit.go
@@ -52,10 +52,10 @@
 // Default sets the defaults of the settings that this step uses.
 func (p *Pipe) Default(settings *config.Router) {
 	a := &settings.Admit
-	config.Fill(&a.MaxRunning, defaultMaxRunning)
-	config.Fill(&a.MaxWaiting, defaultMaxWaiting)
-	config.Fill(&a.MaxWaitingPerOrganisation, defaultMaxWaitingPerOrganisation)
-	config.Fill(&a.MaxWaitMs, defaultMaxWaitMs)
+	config.SetDefault(&a.MaxRunning, defaultMaxRunning)
+	config.SetDefault(&a.MaxWaiting, defaultMaxWaiting)
+	config.SetDefault(&a.MaxWaitingPerOrganisation, defaultMaxWaitingPerOrganisation)
+	config.SetDefault(&a.MaxWaitMs, defaultMaxWaitMs)
 	p.settings = *a
 }
 
@@ -73,13 +73,13 @@
 	if x.FromPeer {
 		return nil
 	}
-	retryAfter, err := p.organisations.Enter(x.Organisation)
+	retryAfter, err := p.organisations.Acquire(x.Organisation)
 	if err != nil {
 		p.metrics.LimitRejected.Add(1)
 		return apierror.New(http.StatusTooManyRequests, "organisation_limit", err.Error(),
 			apierror.WithRetryAfter(max(retryAfter, 1)), apierror.WithCause(err))
 	}
-	x.OnSettle(func(x *exchange.Exchange) { p.organisations.Leave(x.Organisation.Name) })
+	x.OnSettle(func(x *exchange.Exchange) { p.organisations.Release(x.Organisation.Name) })
 	return nil
 }
 
@@ -87,12 +87,12 @@
 func (p *Pipe) waitInQueue(x *exchange.Exchange) error {
 	flow := limit.Flow{Name: x.Organisation.Name, Weight: x.Organisation.Weight, Priority: x.Organisation.Priority}
 	queue := p.queue(x.PoolName())
-	slot, err := queue.Enter(x.Context(), flow, x.Deadline)
+	slot, err := queue.Acquire(x.Context(), flow, x.Deadline)
 	if err != nil {
 		p.metrics.QueueRejected.Add(1)
 		return p.rejection(x, queue, flow, err)
 	}
-	x.OnSettle(func(*exchange.Exchange) { slot.Leave() })
+	x.OnSettle(func(*exchange.Exchange) { slot.Release() })
 	return nil
 }
 
@@ -141,21 +141,21 @@
 	return p.settings.MaxRunning
 }
 
-// Poke admits waiting requests after the capacity of pools has changed.
-func (p *Pipe) Poke() {
+// AdmitWaiting admits waiting requests after the capacity of pools has changed.
+func (p *Pipe) AdmitWaiting() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, queue := range p.queues {
-		queue.Poke()
+		queue.AdmitWaiting()
 	}
 }
 
-// Lengths returns the number of running and of waiting requests on this box.
-func (p *Pipe) Lengths() (running, waiting int) {
+// QueueLengths returns the number of running and of waiting requests on this box.
+func (p *Pipe) QueueLengths() (running, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, queue := range p.queues {
-		r, w := queue.Lengths()
+		r, w := queue.QueueLengths()
 		running += r
 		waiting += w
 	}
--- a/internal/pipe/authorise/authorise.go
+++ b/internal/pipe/authorise/authorise.go
@@ -33,7 +33,7 @@
 
 // Recheck refuses a request that needs a key while the routing state is too old to trust its keys.
 func (p *Pipe) Recheck(r *opaque.Request) error {
-	if r.Route.Public || !r.State.Keyed() {
+	if r.Route.Public || !r.State.RequiresKey() {
 		return nil
 	}
 	if maxAge := p.maxStateAgeMs(); maxAge > 0 && p.stateAgeMs() >= maxAge {
@@ -44,7 +44,7 @@
 
 // Run resolves the key of the request to its organisation.
 func (p *Pipe) Run(r *opaque.Request) error {
-	if r.Route.Public || !r.State.Keyed() {
+	if r.Route.Public || !r.State.RequiresKey() {
 		return nil
 	}
 	if err := p.Recheck(r); err != nil {
--- a/internal/pipe/claim/claim.go
+++ b/internal/pipe/claim/claim.go
@@ -49,9 +49,9 @@
 // Default sets the defaults of the settings that this step uses.
 func (p *Pipe) Default(settings *config.Router) {
 	c := &settings.Claim
-	config.Fill(&c.BatchMs, defaultBatchMs)
-	config.Fill(&c.TimeoutMs, defaultTimeoutMs)
-	config.Fill(&c.WindowMs, defaultWindowMs)
+	config.SetDefault(&c.BatchMs, defaultBatchMs)
+	config.SetDefault(&c.TimeoutMs, defaultTimeoutMs)
+	config.SetDefault(&c.WindowMs, defaultWindowMs)
 	p.settings = *c
 }
 
@@ -156,11 +156,11 @@
 	}
 	x.Outcome = exchange.Ran
 	x.Writer.Header().Set(headerReplayed, "true")
-	if answer.Cut {
+	if answer.Truncated {
 		return apierror.New(http.StatusConflict, "answer_not_kept",
 			"a request with this key ran; its answer was too long to be kept")
 	}
-	x.StampOutcome()
+	x.SetOutcomeHeaders()
 	if answer.ContentType != "" {
 		x.Writer.Header().Set("Content-Type", answer.ContentType)
 	}
--- a/internal/pipe/claim/recorder.go
+++ b/internal/pipe/claim/recorder.go
@@ -32,6 +32,6 @@
 		Status:      x.Writer.Status(),
 		ContentType: x.Writer.Header().Get("Content-Type"),
 		Body:        r.body,
-		Cut:         r.truncated,
+		Truncated:   r.truncated,
 	}
 }
--- a/internal/pipe/dispatch/stream.go
+++ b/internal/pipe/dispatch/stream.go
@@ -49,7 +49,7 @@
 // stop at the end.
 func (s *retryLoop) startIdleTimeout(cancel context.CancelCauseFunc) (event, stop func()) {
 	r := s.request
-	timeout := streamIdleTimeoutFactor * r.Route.GapMs
+	timeout := streamIdleTimeoutFactor * r.Route.MaxGapMs
 	if !r.Route.Resumable || r.Sent >= r.Route.Attempts || timeout <= 0 {
 		return func() {}, func() {}
 	}
--- a/internal/pipe/forward/forward.go
+++ b/internal/pipe/forward/forward.go
@@ -81,12 +81,12 @@
 // Default sets the defaults of the settings that this step uses.
 func (p *Pipe) Default(settings *config.Router) {
 	r := &settings.Retry
-	config.Fill(&r.MaxAttempts, defaultMaxAttempts)
-	config.Fill(&r.BudgetPercent, defaultBudgetPercent)
-	config.Fill(&r.FirstByteTimeoutMs, defaultFirstByteTimeoutMs)
-	config.Fill(&r.ConnectTimeoutMs, defaultConnectTimeoutMs)
-	config.Fill(&r.StreamIdleTimeoutMs, defaultStreamIdleMs)
-	config.Fill(&settings.Request.WriteTimeoutMs, defaultWriteTimeoutMs)
+	config.SetDefault(&r.MaxAttempts, defaultMaxAttempts)
+	config.SetDefault(&r.BudgetPercent, defaultBudgetPercent)
+	config.SetDefault(&r.FirstByteTimeoutMs, defaultFirstByteTimeoutMs)
+	config.SetDefault(&r.ConnectTimeoutMs, defaultConnectTimeoutMs)
+	config.SetDefault(&r.StreamIdleTimeoutMs, defaultStreamIdleMs)
+	config.SetDefault(&settings.Request.WriteTimeoutMs, defaultWriteTimeoutMs)
 	p.settings = *r
 	p.writeTimeoutMs = clock.Millis(settings.Request.WriteTimeoutMs)
 	p.budget = retry.NewBudget(r.BudgetPercent)
@@ -94,7 +94,7 @@
 
 // Run makes attempts until the caller has a response or no further attempt is allowed.
 func (p *Pipe) Run(x *exchange.Exchange) error {
-	p.budget.First()
+	p.budget.RecordAttempt()
 	tried := pool.Tried{}
 	for {
 		tried = append(tried, x.Lease.Row.Name)
@@ -159,7 +159,7 @@
 		return p.finish(x, failed)
 	case x.Attempts >= p.maxAttempts(x):
 		return p.finish(x, failed)
-	case !p.budget.Take():
+	case !p.budget.TryRetry():
 		p.metrics.RetriesDenied.Add(1)
 		return p.finish(x, failed)
 	default:
@@ -189,7 +189,7 @@
 		return errors.Join(exchange.ErrAnswered, failed)
 	}
 	if errors.Is(x.Context().Err(), context.Canceled) {
-		p.metrics.CallerGone.Add(1)
+		p.metrics.CallerDisconnects.Add(1)
 		return apierror.New(exchange.StatusCallerGone, "caller_gone", "the caller left", apierror.WithCause(failed))
 	}
 	if x.RemainingMs(p.clock.Now()) <= 0 || x.Context().Err() != nil {
--- a/internal/pipe/forward/send.go
+++ b/internal/pipe/forward/send.go
@@ -23,9 +23,9 @@
 
 // send makes one attempt. It returns nil if the caller has the complete response.
 func (p *Pipe) send(ctx context.Context, x *exchange.Exchange, lease *pool.Lease) *failure {
-	watch := &transport.Watch{}
+	watch := &transport.AttemptTracker{}
 	if x.SendBefore > 0 {
-		watch.Late = func() bool { return p.clock.Now() > x.SendBefore }
+		watch.Expired = func() bool { return p.clock.Now() > x.SendBefore }
 	}
 	ctx, cancel := context.WithCancel(watch.Context(ctx))
 	defer cancel()
@@ -36,7 +36,7 @@
 	response, err := p.client.Do(request)
 	if err != nil {
 		callerFault := x.Context().Err() != nil
-		nothingSent := watch.GiveUp()
+		nothingSent := watch.Abort()
 		return &failure{
 			cause: err, notRun: nothingSent, upstreamFault: !callerFault,
 			unreachable: nothingSent && !callerFault && !watch.Connected(),
@@ -46,7 +46,7 @@
 	failed := p.relay(ctx, x, lease, response)
 	if failed != nil {
 		// A connection with an abandoned response must not be reused for another request.
-		watch.GiveUp()
+		watch.Abort()
 	}
 	return failed
 }
@@ -66,7 +66,7 @@
 // the HTTP client never retries it on its own.
 func (p *Pipe) request(ctx context.Context, x *exchange.Exchange, lease *pool.Lease) (*http.Request, error) {
 	target := url.URL{Scheme: lease.Scheme, Host: lease.Row.Address, Path: x.Path, RawQuery: x.Request.URL.RawQuery}
-	if lease.Remote != nil {
+	if lease.AddPeerHeaders != nil {
 		target.Path = x.Request.URL.Path
 	}
 	body := &onceReader{bytes.NewReader(x.Body)}
@@ -80,8 +80,8 @@
 	}
 	copyHeader(request.Header, x.Request.Header)
 	p.setRouterHeaders(ctx, request.Header, x)
-	if lease.Remote != nil {
-		lease.Remote(request.Header)
+	if lease.AddPeerHeaders != nil {
+		lease.AddPeerHeaders(request.Header)
 	}
 	return request, nil
 }
@@ -135,16 +135,16 @@
 func (p *Pipe) checkResponse(x *exchange.Exchange, lease *pool.Lease, response *http.Response) *failure {
 	echoed := response.Header.Get(engine.HeaderRequestID)
 	if echoed != x.ID && (echoed != "" || x.Kind == exchange.Chat) {
-		p.metrics.CrossedAnswers.Add(1)
+		p.metrics.MismatchedResponses.Add(1)
 		return &failure{cause: errCrossed, upstreamFault: true}
 	}
 	if load, err := strconv.Atoi(response.Header.Get(engine.HeaderInFlight)); err == nil {
 		p.reportLoad(lease.Row.Name, load)
 	}
-	if lease.Remote != nil {
+	if lease.AddPeerHeaders != nil {
 		return p.checkRemote(response)
 	}
-	if response.Header.Get(engine.HeaderNotRun) == "true" {
+	if response.Header.Get(engine.HeaderNotExecuted) == "true" {
 		return &failure{cause: errNotRun, notRun: true, upstreamFault: true}
 	}
 	if response.StatusCode >= http.StatusInternalServerError && x.Repeatable {
@@ -187,7 +187,7 @@
 	x.Writer.WriteHeader(response.StatusCode)
 	p.extendWriteDeadline(x)
 	if _, err := x.Writer.Write(body); err != nil {
-		p.metrics.CallerGone.Add(1)
+		p.metrics.CallerDisconnects.Add(1)
 	}
 	return nil
 }
@@ -211,11 +211,11 @@
 	}
 	header.Set(exchange.HeaderUpstream, lease.Row.Name)
 	header.Set(exchange.HeaderAttempts, strconv.Itoa(x.Attempts))
-	x.StampOutcome()
+	x.SetOutcomeHeaders()
 }
 
 // internalHeaders are upstream response headers that are not relayed to the caller.
 var internalHeaders = map[string]bool{
 	engine.HeaderRequestID: true, engine.HeaderInFlight: true, engine.HeaderQueued: true,
-	engine.HeaderNotRun: true, "Date": true,
+	engine.HeaderNotExecuted: true, "Date": true,
 }
--- a/internal/pipe/forward/stream.go
+++ b/internal/pipe/forward/stream.go
@@ -180,13 +180,13 @@
 func (s *streamRelay) abort(cause error) *failure {
 	s.cancelUpstream()
 	if errors.Is(cause, errCallerGone) || s.x.Context().Err() != nil && !s.x.Writer.Started() {
-		s.p.metrics.CallerGone.Add(1)
+		s.p.metrics.CallerDisconnects.Add(1)
 		return &failure{cause: cause, responseStarted: s.x.Writer.Started()}
 	}
 	if !s.x.Writer.Started() {
 		return &failure{cause: cause, upstreamFault: true}
 	}
-	s.p.metrics.CutStreams.Add(1)
+	s.p.metrics.TruncatedStreams.Add(1)
 	s.x.Outcome = exchange.Unknown
 	// Write errors are ignored: the caller has disconnected and can't get the event.
 	_ = s.write(errorFrame())
@@ -204,7 +204,7 @@
 
 // cancelUpstream frees the engine's slot. Engines keep running a request after its connection closes.
 func (s *streamRelay) cancelUpstream() {
-	if s.lease.Remote != nil {
+	if s.lease.AddPeerHeaders != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(s.x.Context()), cancelTimeoutMs.Duration())
--- a/internal/pipe/identify/identify.go
+++ b/internal/pipe/identify/identify.go
@@ -55,13 +55,13 @@
 // Default sets the defaults of the settings that this step uses.
 func (p *Pipe) Default(settings *config.Router) {
 	r := &settings.Request
-	config.Fill(&r.MaxBodyBytes, defaultMaxBodyBytes)
-	config.Fill(&r.MaxHeaders, defaultMaxHeaders)
-	config.Fill(&r.MaxHeaderBytes, defaultMaxHeaderBytes)
-	config.Fill(&r.MaxJSONDepth, defaultMaxJSONDepth)
-	config.Fill(&r.BodyTimeoutMs, defaultBodyTimeoutMs)
-	config.Fill(&r.DefaultDeadlineMs, defaultDeadlineMs)
-	config.Fill(&r.MaxDeadlineMs, defaultMaxDeadlineMs)
+	config.SetDefault(&r.MaxBodyBytes, defaultMaxBodyBytes)
+	config.SetDefault(&r.MaxHeaders, defaultMaxHeaders)
+	config.SetDefault(&r.MaxHeaderBytes, defaultMaxHeaderBytes)
+	config.SetDefault(&r.MaxJSONDepth, defaultMaxJSONDepth)
+	config.SetDefault(&r.BodyTimeoutMs, defaultBodyTimeoutMs)
+	config.SetDefault(&r.DefaultDeadlineMs, defaultDeadlineMs)
+	config.SetDefault(&r.MaxDeadlineMs, defaultMaxDeadlineMs)
 	p.settings = *r
 }
 
@@ -176,7 +176,7 @@
 	x.Target = chat.Model
 	x.Path = x.Request.URL.Path
 	x.Streamed = chat.Stream
-	x.Fresh = chat.Fresh()
+	x.FirstTurn = chat.IsFirstTurn()
 	x.Repeatable = x.Request.Header.Get(exchange.HeaderIdempotencyKey) == ""
 	x.Session = chatSession(x, &chat)
 	x.Key = route.NewKey(x.Organisation.Name, x.Session)
@@ -204,7 +204,7 @@
 	}
 	x.Target = name
 	x.Path = "/" + x.Request.PathValue("path")
-	x.Repeatable = service.MayRepeat(x.Request.Method, x.Path)
+	x.Repeatable = service.IsRepeatable(x.Request.Method, x.Path)
 	x.Session = x.Request.Header.Get(exchange.HeaderSession)
 	if x.Session == "" {
 		x.Session = x.ID
--- a/internal/pipe/receive/receive.go
+++ b/internal/pipe/receive/receive.go
@@ -45,13 +45,13 @@
 	if p.bufferedBytes.Load()+max(0, r.HTTP.ContentLength) > p.maxBufferedBytes {
 		return opaque.NewRefusal(opaque.NotRunStatus, opaque.BoxFull, boxFullRetryMs, nil)
 	}
-	r.Writer.BoundRead(max(1, r.RemainingMs(p.monotonic())).Duration())
+	r.Writer.SetReadTimeout(max(1, r.RemainingMs(p.monotonic())).Duration())
 	body, err := readBody(r, limit)
 	if err != nil {
 		// The read deadline stays in place, so that the server does not wait for the rest of the body.
 		return err
 	}
-	r.Writer.BoundRead(0)
+	r.Writer.SetReadTimeout(0)
 	r.Body = body
 	r.ComputeFingerprint()
 	p.bufferedBytes.Add(int64(len(body)))
--- a/internal/pipe/route/route.go
+++ b/internal/pipe/route/route.go
@@ -46,12 +46,12 @@
 // Default sets the defaults of the settings that this step uses.
 func (*Pipe) Default(settings *config.Router) {
 	r := &settings.Route
-	config.Fill(&r.Policy, route.DefaultPolicy)
-	config.Fill(&r.LoadBoundPercent, defaultLoadBoundPercent)
-	config.Fill(&r.SlowStartMs, defaultSlowStartMs)
-	config.Fill(&r.EjectBaseMs, defaultEjectBaseMs)
-	config.Fill(&r.EjectMaxMs, defaultEjectMaxMs)
-	config.Fill(&r.PanicPercent, defaultPanicPercent)
+	config.SetDefault(&r.Policy, route.DefaultPolicy)
+	config.SetDefault(&r.LoadBoundPercent, defaultLoadBoundPercent)
+	config.SetDefault(&r.SlowStartMs, defaultSlowStartMs)
+	config.SetDefault(&r.EjectBaseMs, defaultEjectBaseMs)
+	config.SetDefault(&r.EjectMaxMs, defaultEjectMaxMs)
+	config.SetDefault(&r.PanicPercent, defaultPanicPercent)
 }
 
 // PoolSettings converts the route settings, with their defaults set, to pool settings.
--- a/internal/pipe/settle/settle.go
+++ b/internal/pipe/settle/settle.go
@@ -35,11 +35,11 @@
 	p.metrics.Requests.Add(1)
 	switch x.Outcome {
 	case exchange.Ran:
-		p.metrics.Ran.Add(1)
+		p.metrics.OutcomeRan.Add(1)
 	case exchange.NotRun:
-		p.metrics.NotRun.Add(1)
+		p.metrics.OutcomeNotRun.Add(1)
 	case exchange.Unknown:
-		p.metrics.Unknown.Add(1)
+		p.metrics.OutcomeUnknown.Add(1)
 	}
 	p.log(x)
 	return nil
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -93,7 +93,7 @@
 	if x.Writer.Started() {
 		return false
 	}
-	x.StampOutcome()
+	x.SetOutcomeHeaders()
 	apierror.From(err).Write(x.Writer)
 	return false
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -18,8 +18,8 @@
 	Token   int64
 	UntilMs clock.Millis
 	SinceMs clock.Millis
-	// SpanMs is the duration of a lease.
-	SpanMs clock.Millis
+	// DurationMs is the duration of a lease.
+	DurationMs clock.Millis
 }
 
 // Decide returns the next order for an engine, or false if it needs none now: its models match the
@@ -31,7 +31,7 @@
 	if state.Outstanding != "" || now >= lease.UntilMs || state.NewestToken > lease.Token {
 		return engine.Order{}, false
 	}
-	if !row.ChecksTokens && now < lease.SinceMs+lease.SpanMs+MaxOrderDurationMs {
+	if !row.ChecksTokens && now < lease.SinceMs+lease.DurationMs+MaxOrderDurationMs {
 		return engine.Order{}, false
 	}
 	if model, found := firstMissing(row.Serves, state.Models); found {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -14,7 +14,7 @@
 	return &table.Upstream{Name: "e", Serves: serves, ChecksTokens: checksTokens}
 }
 
-var lease = Lease{Token: 5, UntilMs: 200_000, SinceMs: 0, SpanMs: 15_000}
+var lease = Lease{Token: 5, UntilMs: 200_000, SinceMs: 0, DurationMs: 15_000}
 
 const afterWait = clock.Millis(100_000)
 
--- a/internal/pool/lease.go
+++ b/internal/pool/lease.go
@@ -12,26 +12,26 @@
 type Lease struct {
 	// Row is the upstream's row of the routing table at the time of the lease.
 	Row *table.Upstream
-	// Remote is set if the upstream is a box of another failure domain. It adds the headers that the
+	// AddPeerHeaders is set if the upstream is a box of another failure domain. It adds the headers that the
 	// listener for peers requires.
-	Remote func(header http.Header)
+	AddPeerHeaders func(header http.Header)
 	// Scheme is http, or https for a box whose listener for peers uses TLS.
 	Scheme string
 
-	// afterRelease is called after the release with the number of requests that this box still has
+	// onRelease is called after the release with the number of requests that this box still has
 	// on the upstream.
-	afterRelease func(held int)
-	manager      *Manager
-	onResult     func(failed bool)
-	poolName     string
-	released     bool
+	onRelease func(held int)
+	manager   *Manager
+	onResult  func(failed bool)
+	poolName  string
+	released  bool
 }
 
 // NewRemoteLease returns a lease on a box of another failure domain, which is not part of any pool.
 // onResult is called with whether the attempt failed.
 func NewRemoteLease(box, address string, remote func(header http.Header), onResult func(failed bool)) *Lease {
 	return &Lease{
-		Row: &table.Upstream{Name: box, Address: address}, Remote: remote, onResult: onResult, Scheme: "http",
+		Row: &table.Upstream{Name: box, Address: address}, AddPeerHeaders: remote, onResult: onResult, Scheme: "http",
 	}
 }
 
@@ -67,8 +67,8 @@
 		l.onResult(result == Failed || result == Unreachable)
 		return
 	}
-	if held, firstRelease := l.manager.releaseOnce(l, result); firstRelease && l.afterRelease != nil {
-		l.afterRelease(held)
+	if held, firstRelease := l.manager.releaseOnce(l, result); firstRelease && l.onRelease != nil {
+		l.onRelease(held)
 	}
 }
 
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -92,13 +92,13 @@
 // Reservation is a lease that is already counted, with the resulting load of this box.
 type Reservation struct {
 	Lease *Lease
-	// Held is the number of requests that this box has on the upstream for this pool.
-	Held int
+	// InFlight is the number of requests that this box has on the upstream for this pool.
+	InFlight int
 	// Total is the number of requests that this box has on the whole pool.
 	Total int
-	// WithinOwnBound reports whether this lease keeps the upstream within this box's share of the load
+	// WithinLocalBound reports whether this lease keeps the upstream within this box's share of the load
 	// bound.
-	WithinOwnBound bool
+	WithinLocalBound bool
 }
 
 // Reserve returns a lease on the upstream with the given name. It returns false if the upstream is
@@ -114,30 +114,30 @@
 	if index < 0 {
 		return Reservation{}, false
 	}
-	within := p.view.WithinOwnBound(index)
+	within := p.view.WithinLocalBound(index)
 	lease := m.lease(p, index)
 	return Reservation{
-		Lease: lease, Held: p.view.Members[index].InFlight, Total: p.view.Total(), WithinOwnBound: within,
+		Lease: lease, InFlight: p.view.Members[index].InFlight, Total: p.view.Total(), WithinLocalBound: within,
 	}, true
 }
 
-// AfterRelease sets a function that is called when the lease is released, with the number of
+// OnRelease sets a function that is called when the lease is released, with the number of
 // requests that this box still has on the upstream.
-func (l *Lease) AfterRelease(afterRelease func(held int)) { l.afterRelease = afterRelease }
+func (l *Lease) OnRelease(afterRelease func(held int)) { l.onRelease = afterRelease }
 
-// Standing returns the state of a place in its pool, as its owner needs it.
-func (m *Manager) Standing(placeID grant.Place) (grant.Standing, bool) {
+// MemberState returns the state of a place in its pool, as its owner needs it.
+func (m *Manager) MemberState(placeID grant.Place) (grant.MemberState, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	found, known := m.places[placeID]
 	if !known {
-		return grant.Standing{}, false
+		return grant.MemberState{}, false
 	}
 	view := found.pool.view
-	return grant.Standing{
-		Pool: found.pool.id, Part: view.Part(found.position), Boxes: view.Boxes(),
+	return grant.MemberState{
+		Pool: found.pool.id, WeightFraction: view.WeightFraction(found.position), Boxes: view.Boxes(),
 		BoundPercent: view.BoundPercent, Slots: view.Members[found.position].Slots,
-		Closed: found.closed(),
+		Unavailable: found.closed(),
 	}, true
 }
 
@@ -170,8 +170,8 @@
 
 // Usage is the load of this box on one member.
 type Usage struct {
-	Member Member
-	Held   int
+	Member   Member
+	InFlight int
 }
 
 // InUse returns the members on which this box has requests in flight.
@@ -182,7 +182,7 @@
 	for _, p := range m.pools {
 		for position, member := range p.entries {
 			if held := p.view.Members[position].InFlight; held > 0 {
-				usages = append(usages, Usage{Member: member, Held: held})
+				usages = append(usages, Usage{Member: member, InFlight: held})
 			}
 		}
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -387,7 +387,7 @@
 	if slots == 0 {
 		return 0
 	}
-	return max(1, int(m.slots.Part(slots)+half))
+	return max(1, int(m.slots.Share(slots)+half))
 }
 
 const half = 0.5
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -18,11 +18,11 @@
 	return &Budgets{percent: percent, reserve: reserve, options: options, pools: map[string]*Budget{}}
 }
 
-// First records a first attempt at a pool.
-func (b *Budgets) First(pool string) { b.forPool(pool).First() }
+// RecordAttempt records a first attempt at a pool.
+func (b *Budgets) RecordAttempt(pool string) { b.forPool(pool).RecordAttempt() }
 
-// Take spends one retry from the pool's budget. It returns false if the balance is too low.
-func (b *Budgets) Take(pool string) bool { return b.forPool(pool).Take() }
+// TryRetry spends one retry from the pool's budget. It returns false if the balance is too low.
+func (b *Budgets) TryRetry(pool string) bool { return b.forPool(pool).TryRetry() }
 
 // SetReserve changes the maximum balance of each budget in retries, for example when the number of
 // boxes that share the reserve changes.
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -42,10 +42,10 @@
 // WithReserve sets the maximum balance in retries.
 func WithReserve(retries int) Option { return func(b *Budget) { b.reserve = retries } }
 
-// WithBank raises the maximum balance above the reserve by a percentage of the first attempts in
+// WithBurst raises the maximum balance above the reserve by a percentage of the first attempts in
 // the last window, so that requests that fail together can be retried together. Over one window,
 // retries stay below the reserve plus both percentages of its first attempts.
-func WithBank(percent int, window clock.Millis, monotonicNow func() clock.Millis) Option {
+func WithBurst(percent int, window clock.Millis, monotonicNow func() clock.Millis) Option {
 	return func(b *Budget) { b.burstPercent, b.windowMs, b.monotonicNow = percent, window, monotonicNow }
 }
 
@@ -60,8 +60,8 @@
 	return b
 }
 
-// First records a first attempt, which adds to the balance.
-func (b *Budget) First() {
+// RecordAttempt records a first attempt, which adds to the balance.
+func (b *Budget) RecordAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.countAttempt()
@@ -81,8 +81,8 @@
 // capacity returns the maximum balance.
 func (b *Budget) capacity() int { return b.reserve*retryCost + int(b.recent*float64(b.burstPercent)) }
 
-// Take spends one retry from the balance. It returns false if the balance is too low.
-func (b *Budget) Take() bool {
+// TryRetry spends one retry from the balance. It returns false if the balance is too low.
+func (b *Budget) TryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.balance < retryCost {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,15 +13,15 @@
 		b := NewBudget(20)
 		retries := 0
 		for range 10_000 {
-			b.First()
-			if b.Take() {
+			b.RecordAttempt()
+			if b.TryRetry() {
 				retries++
 			}
 		}
 		assert.InDelta(t, 2000, retries, reserve+1)
 	})
 	t.Run("allows a retry on a box without traffic", func(t *testing.T) {
-		assert.True(t, NewBudget(1).Take())
+		assert.True(t, NewBudget(1).TryRetry())
 	})
 }
 
@@ -29,13 +29,13 @@
 // percent of the first attempts of the last 10 s, and the budget's clock.
 func newBurstBudget() (b *Budget, now *clock.Millis) {
 	now = new(clock.Millis)
-	return NewBudget(10, WithReserve(2), WithBank(6, 10*clock.Second, func() clock.Millis { return *now })), now
+	return NewBudget(10, WithReserve(2), WithBurst(6, 10*clock.Second, func() clock.Millis { return *now })), now
 }
 
 // takeAll takes retries until the budget refuses and returns their number.
 func takeAll(b *Budget) int {
 	taken := 0
-	for b.Take() {
+	for b.TryRetry() {
 		taken++
 	}
 	return taken
@@ -45,7 +45,7 @@
 	// send records ten first attempts per second for the duration.
 	send := func(b *Budget, now *clock.Millis, duration clock.Millis) {
 		for end := *now + duration; *now < end; *now += 100 {
-			b.First()
+			b.RecordAttempt()
 		}
 	}
 	t.Run("allows 8 of 11 retries in a burst after steady traffic, 2 without the allowance", func(t *testing.T) {
@@ -71,7 +71,7 @@
 		b, now := newBurstBudget()
 		send(b, now, 60*clock.Second)
 		*now += 100 * clock.Second
-		b.First()
+		b.RecordAttempt()
 		assert.LessOrEqual(t, takeAll(b), 2)
 	})
 }
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -68,7 +68,7 @@
 		return ReasonNoWeight
 	case m.Used >= m.slotShare:
 		return ReasonSlots
-	case !v.withinOwnBound(position):
+	case !v.withinLocalBound(position):
 		return ReasonBound
 	default:
 		return ReasonOpen
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -95,9 +95,9 @@
 	return float64(v.total+1)*m.boundFactor + m.roundingOffset
 }
 
-// withinOwnBound reports whether one more request on a member stays within this box's part of the
+// withinLocalBound reports whether one more request on a member stays within this box's part of the
 // load bound.
-func (v *View) withinOwnBound(position int) bool {
+func (v *View) withinLocalBound(position int) bool {
 	m := &v.Members[position]
 	return m.InFlight+1 <= int(v.boundShare(m))
 }
@@ -108,9 +108,9 @@
 	return v.Members[position].usable() && !tried.has(position)
 }
 
-// WithinOwnBound reports whether one more request on a member stays within this box's part of the
+// WithinLocalBound reports whether one more request on a member stays within this box's part of the
 // load bound.
-func (v *View) WithinOwnBound(position int) bool { return v.withinOwnBound(position) }
+func (v *View) WithinLocalBound(position int) bool { return v.withinLocalBound(position) }
 
 // firstByScore returns the highest ranked open member that passes the filter.
 func (v *View) firstByScore(key Key, tried Tried, filter func(v *View, position int) bool) int {
--- a/internal/route/policies.go
+++ b/internal/route/policies.go
@@ -88,7 +88,7 @@
 }
 
 func pickRendezvousOwnBound(v *View, key Key, tried Tried) int {
-	position := v.firstByScore(key, tried, (*View).withinOwnBound)
+	position := v.firstByScore(key, tried, (*View).withinLocalBound)
 	if position != none {
 		return position
 	}
--- a/internal/route/view.go
+++ b/internal/route/view.go
@@ -120,7 +120,7 @@
 	}
 	for i := range v.Members {
 		m := &v.Members[i]
-		m.boundFactor = v.Part(i) * float64(v.BoundPercent) / percent
+		m.boundFactor = v.WeightFraction(i) * float64(v.BoundPercent) / percent
 		m.slotShare = v.slotShare(m)
 	}
 }
@@ -152,8 +152,8 @@
 // Total returns the number of requests that this box has in flight on all members.
 func (v *View) Total() int { return v.total }
 
-// Part returns a member's fraction of the pool's weight, 0 to 1.
-func (v *View) Part(index int) float64 {
+// WeightFraction returns a member's fraction of the pool's weight, 0 to 1.
+func (v *View) WeightFraction(index int) float64 {
 	return float64(v.Members[index].Weight) / float64(max(1, v.totalWeight))
 }
 
--- a/internal/routebench/grants.go
+++ b/internal/routebench/grants.go
@@ -43,12 +43,12 @@
 		if !more {
 			break
 		}
-		if search.Hear(question, r.askOwner(box, question, s)) {
+		if search.HandleReply(question, r.askOwner(box, question, s)) {
 			r.notifyOwner(search, question.Place, s)
 			return positionOf(question.Place)
 		}
 	}
-	place, found := search.Least()
+	place, found := search.LeastLoaded()
 	if !found {
 		return none
 	}
@@ -84,18 +84,18 @@
 			return grant.Reply{Hint: hint}
 		}
 	}
-	if !q.Want {
+	if !q.WantSlot {
 		return grant.Reply{}
 	}
 	v := r.views[box]
-	standing := grant.Standing{
-		Part: v.Part(position), Boxes: r.scenario.Boxes, BoundPercent: BoundPercent, Slots: engineSlots,
+	standing := grant.MemberState{
+		WeightFraction: v.WeightFraction(position), Boxes: r.scenario.Boxes, BoundPercent: BoundPercent, Slots: engineSlots,
 	}
 	granted, over := r.owners.ledgers[owner].Ask(grant.Ask{
-		Place: q.Place, Box: grant.Box(box + 1), Held: v.Members[position].InFlight + 1, Total: v.Total() + 1,
-		Settle: q.Settle,
+		Place: q.Place, Box: grant.Box(box + 1), InFlight: v.Members[position].InFlight + 1, Total: v.Total() + 1,
+		BelowMean: q.BelowMean,
 	}, standing, r.now)
-	return grant.Reply{Granted: granted, Over: over}
+	return grant.Reply{Granted: granted, Excess: over}
 }
 
 // notifyOwner informs the owner of the session's first choice where the session was placed, if it doesn't know yet.
@@ -104,7 +104,7 @@
 	switch {
 	case place == search.First():
 		directory.Remove(sessionOf(s))
-	case search.News(place):
+	case search.MustNotify(place):
 		r.owners.placementUpdates++
 		directory.Set(sessionOf(s), place)
 	}
@@ -116,5 +116,5 @@
 		return
 	}
 	inFlight := r.views[box].Members[position].InFlight
-	r.owners.ledgers[r.ownerOf(position)].Hold(placeOf(position), grant.Box(box+1), inFlight, r.now)
+	r.owners.ledgers[r.ownerOf(position)].SetInFlight(placeOf(position), grant.Box(box+1), inFlight, r.now)
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -50,8 +50,8 @@
 	TimeoutMs clock.Millis `json:"timeout_ms"`
 	// ObjectiveMs is the service level objective for the time to the first byte.
 	ObjectiveMs clock.Millis `json:"objective_ms"`
-	// GapMs is the maximum acceptable pause between two events of a stream.
-	GapMs clock.Millis `json:"gap_ms"`
+	// MaxGapMs is the maximum acceptable pause between two events of a stream.
+	MaxGapMs clock.Millis `json:"gap_ms"`
 	// Priority orders requests; 0 is the most urgent.
 	Priority int `json:"priority"`
 	// Public routes require no key.
@@ -193,9 +193,9 @@
 // Limits returns the bounds on requests of callers.
 func (s *State) Limits() Limits { return s.limits }
 
-// Keyed reports whether the state has any organisations, so that routes that are not public
+// RequiresKey reports whether the state has any organisations, so that routes that are not public
 // require a key.
-func (s *State) Keyed() bool { return s.keyed }
+func (s *State) RequiresKey() bool { return s.keyed }
 
 // Pool returns a pool by name, or nil if there is none.
 func (s *State) Pool(name string) *Pool { return s.pools[name] }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -44,8 +44,8 @@
 // that are not set.
 func LimitsOf(settings *config.Router) Limits {
 	r := &settings.Request
-	config.Fill(&r.HeaderTimeoutMs, defaultHeaderTimeoutMs)
-	config.Fill(&r.IdleTimeoutMs, defaultIdleTimeoutMs)
+	config.SetDefault(&r.HeaderTimeoutMs, defaultHeaderTimeoutMs)
+	config.SetDefault(&r.IdleTimeoutMs, defaultIdleTimeoutMs)
 	return Limits{
 		MaxHeaderBytes:  r.MaxHeaderBytes,
 		HeaderTimeoutMs: clock.Millis(r.HeaderTimeoutMs),
--- a/internal/soak/fatal.go
+++ b/internal/soak/fatal.go
@@ -105,9 +105,9 @@
 			continue
 		}
 		for _, run := range h.runs[o.ID] {
-			if run.Began.After(limitReached) {
+			if run.StartedAt.After(limitReached) {
 				stats.After++
-				stats.LastMs = max(stats.LastMs, int(run.Began.Sub(limitReached).Milliseconds()))
+				stats.LastMs = max(stats.LastMs, int(run.StartedAt.Sub(limitReached).Milliseconds()))
 			}
 		}
 	}
@@ -127,9 +127,9 @@
 			continue
 		}
 		for _, run := range h.runs[o.ID] {
-			wasUndisturbed := h.disturbances.undisturbed(allBoxes, run.Began.Add(-undisturbedSpan), run.Began) &&
-				h.disturbances.undisturbed(o.Box, run.Began.Add(-undisturbedSpan), run.Began)
-			if run.Began.After(from) && wasUndisturbed {
+			wasUndisturbed := h.disturbances.undisturbed(allBoxes, run.StartedAt.Add(-undisturbedSpan), run.StartedAt) &&
+				h.disturbances.undisturbed(o.Box, run.StartedAt.Add(-undisturbedSpan), run.StartedAt)
+			if run.StartedAt.After(from) && wasUndisturbed {
 				late, lastID = late+1, o.ID
 			}
 		}
--- a/internal/soak/fatal_test.go
+++ b/internal/soak/fatal_test.go
@@ -27,7 +27,7 @@
 		h.recordOutcome(standin.Outcome{
 			Call: standin.Call{ID: id, Kind: standin.Stream, Key: "k", DeadlineMs: 1000, Sends: standin.FatalBody}, Sent: at, Box: "b",
 		})
-		h.recordRun(standin.Run{RequestID: id, Server: "s", Kind: standin.Stream, Tenant: "t", Began: at})
+		h.recordRun(standin.Run{RequestID: id, Server: "s", Kind: standin.Stream, Tenant: "t", StartedAt: at})
 	}
 	return h
 }
@@ -50,7 +50,7 @@
 	h, o, run := successfulRequest(standin.Safe)
 	h.timed = true
 	h.recordReplacement("s")
-	run.Began = time.Now().Add(5 * time.Second)
+	run.StartedAt = time.Now().Add(5 * time.Second)
 	h.recordRun(*run)
 	h.recordOutcome(*o)
 	assertFinds(t, h, "no new work after entry replacement")
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -59,11 +59,11 @@
 func storeFaults() []fault {
 	list := []fault{}
 	for _, kind := range []standin.StoreFault{
-		standin.StoreBusy, standin.StoreSilent, standin.StoreSlow, standin.StoreReset,
+		standin.StoreBusy, standin.StoreUnresponsive, standin.StoreSlow, standin.StoreReset,
 	} {
 		begin := func(f *fleet) (func(*fleet) error, error) {
 			f.store.SetFault(kind)
-			return withDisturbance(f, allBoxes, func(f *fleet) error { f.store.SetFault(standin.StoreWell); return nil }, nil)
+			return withDisturbance(f, allBoxes, func(f *fleet) error { f.store.SetFault(standin.StoreHealthy); return nil }, nil)
 		}
 		list = append(list, fault{name: "store " + string(kind), fleetWide: true, begin: begin})
 	}
@@ -94,8 +94,8 @@
 func serverFaults() []fault {
 	list := []fault{}
 	for _, kind := range []standin.ServerFault{
-		standin.ServerErrors, standin.ServerShed, standin.ServerLost,
-		standin.ServerTorn, standin.ServerExtra, standin.ServerSlow,
+		standin.ServerErrors, standin.ServerShed, standin.ServerResponseLost,
+		standin.ServerTruncated, standin.ServerDuplicate, standin.ServerSlow,
 	} {
 		list = append(list, fault{name: "server " + string(kind), begin: func(f *fleet) (func(*fleet) error, error) {
 			s := f.randomServer()
@@ -103,7 +103,7 @@
 			current := s.current
 			s.mu.Unlock()
 			current.SetFault(kind)
-			return func(*fleet) error { current.SetFault(standin.ServerWell); return nil }, nil
+			return func(*fleet) error { current.SetFault(standin.ServerHealthy); return nil }, nil
 		}})
 	}
 	return list
@@ -180,7 +180,7 @@
 	}
 	return func(f *fleet) error {
 		defer endDisturbance()
-		f.store.SetFault(standin.StoreWell)
+		f.store.SetFault(standin.StoreHealthy)
 		for _, s := range f.servers {
 			f.writeEntry(s, false)
 		}
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -117,7 +117,7 @@
 	if atMostOnce && meansNotRun(o.Status) && len(runs) > 0 {
 		violated("no run after a not-run status", "%s got %d and ran at %s", o.Kind, o.Status, runs[0].Server)
 	}
-	if o.Status == http.StatusOK && o.Whole {
+	if o.Status == http.StatusOK && o.Complete {
 		h.served[o.Kind]++
 		if !o.Sound() {
 			violated("complete answer to its own request", "%s got %q, seal %q", o.Kind, o.Answer, o.Seal)
@@ -172,12 +172,12 @@
 // a request, or 0 if that is within the bound.
 func (h *history) lateAfterDraining(o standin.Outcome, run standin.Run) time.Duration {
 	at, draining := h.draining[run.Server]
-	late := run.Began.Sub(at)
+	late := run.StartedAt.Sub(at)
 	if !h.timed || !draining || late <= maxPropagation+timingSlack {
 		return 0
 	}
 	for _, name := range []string{allBoxes, o.Box, run.Server} {
-		if !h.disturbances.undisturbed(name, at.Add(-undisturbedSpan), run.Began) {
+		if !h.disturbances.undisturbed(name, at.Add(-undisturbedSpan), run.StartedAt) {
 			return 0
 		}
 	}
@@ -188,13 +188,13 @@
 // undisturbed box sent the server a request, or 0 if that is within the bound.
 func (h *history) lateAfterReplacement(o standin.Outcome, run standin.Run) time.Duration {
 	for _, s := range h.replacements[run.Server] {
-		late := run.Began.Sub(s.from)
-		if !h.timed || late <= maxPropagation+timingSlack || !s.to.IsZero() && run.Began.After(s.to) {
+		late := run.StartedAt.Sub(s.from)
+		if !h.timed || late <= maxPropagation+timingSlack || !s.to.IsZero() && run.StartedAt.After(s.to) {
 			continue
 		}
 		undisturbed := true
 		for _, name := range []string{allBoxes, o.Box, run.Server} {
-			undisturbed = undisturbed && h.disturbances.undisturbed(name, s.from.Add(-undisturbedSpan), run.Began)
+			undisturbed = undisturbed && h.disturbances.undisturbed(name, s.from.Add(-undisturbedSpan), run.StartedAt)
 		}
 		if undisturbed {
 			return late
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -17,7 +17,7 @@
 	h.recordKey("k", "t")
 	o := &standin.Outcome{
 		Call: standin.Call{ID: "1", Kind: kind, Key: "k", DeadlineMs: 1000}, Sent: time.Now(), Status: http.StatusOK,
-		Whole: true, Answer: standin.Body("1"), Seal: "seal-1", Echo: "1",
+		Complete: true, Answer: standin.Body("1"), Seal: "seal-1", Echo: "1",
 	}
 	return h, o, &standin.Run{RequestID: "1", Server: "s", Kind: kind, Tenant: "t", DeadlineMs: 900}
 }
@@ -99,7 +99,7 @@
 func startAfterDraining(h *history, run *standin.Run, after time.Duration) {
 	h.timed = true
 	h.draining[run.Server] = time.Now().Add(-after)
-	run.Began = time.Now()
+	run.StartedAt = time.Now()
 }
 
 func TestDrainBoundAppliesToUndisturbedBoxes(t *testing.T) {
@@ -123,8 +123,8 @@
 			h, o, run := successfulRequest(standin.Safe)
 			o.Box = "b"
 			startAfterDraining(h, run, late)
-			s := h.disturbances.begin(c.disturbed, run.Began.Add(-c.before-time.Second))
-			s.to = run.Began.Add(-c.before)
+			s := h.disturbances.begin(c.disturbed, run.StartedAt.Add(-c.before-time.Second))
+			s.to = run.StartedAt.Add(-c.before)
 			h.recordRun(*run)
 			h.recordOutcome(*o)
 			assert.Len(t, h.check(), c.found)
--- a/internal/soak/response_signals.go
+++ b/internal/soak/response_signals.go
@@ -164,7 +164,7 @@
 func (h *history) lateAfterSignal(pair boxServer, list []delivery) string {
 	var signalled time.Time
 	for _, v := range list {
-		if v.Draining && v.outcome.Whole && (signalled.IsZero() || v.outcome.Ended.Before(signalled)) {
+		if v.Draining && v.outcome.Complete && (signalled.IsZero() || v.outcome.Ended.Before(signalled)) {
 			signalled = v.outcome.Ended
 		}
 	}
--- a/internal/soak/response_signals_test.go
+++ b/internal/soak/response_signals_test.go
@@ -25,7 +25,7 @@
 		}
 		h.recordArrival(a)
 		h.recordOutcome(standin.Outcome{
-			Call: call, Box: "b", Sent: at, Ended: at, Status: http.StatusServiceUnavailable, Whole: true,
+			Call: call, Box: "b", Sent: at, Ended: at, Status: http.StatusServiceUnavailable, Complete: true,
 		})
 	}
 	return h
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -23,7 +23,7 @@
 	f.store.SetFault(standin.StoreReset)
 	return func(f *fleet) error {
 		f.store.Restore(time.Duration(f.draw(maxBackupAgeMs)) * time.Millisecond)
-		f.store.SetFault(standin.StoreWell)
+		f.store.SetFault(standin.StoreHealthy)
 		f.runLater(func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -78,7 +78,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if f.store.Fault() != standin.StoreWell {
+		if f.store.Fault() != standin.StoreHealthy {
 			continue
 		}
 		for _, s := range f.servers {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -18,8 +18,8 @@
 	"dooryard.example/dooryard/internal/jsonhttp"
 )
 
-// EngineSpeed sets the timing and the capacity of an engine.
-type EngineSpeed struct {
+// EngineTiming sets the timing and the capacity of an engine.
+type EngineTiming struct {
 	// PrefillTokensPerMs is the number of uncached prompt tokens processed per millisecond.
 	PrefillTokensPerMs int
 	// TokenMs is the time between two tokens of an answer.
@@ -59,7 +59,7 @@
 // Engine is a fake model engine.
 type Engine struct {
 	name         string
-	speed        EngineSpeed
+	speed        EngineTiming
 	checksTokens bool
 	clock        clock.Clock
 	tracer       trace.Tracer
@@ -108,8 +108,8 @@
 // WithEngineClock replaces the system clock.
 func WithEngineClock(c clock.Clock) EngineOption { return func(e *Engine) { e.clock = c } }
 
-// WithSpeed sets the engine's timing and capacity.
-func WithSpeed(speed EngineSpeed) EngineOption { return func(e *Engine) { e.speed = speed } }
+// WithTiming sets the engine's timing and capacity.
+func WithTiming(speed EngineTiming) EngineOption { return func(e *Engine) { e.speed = speed } }
 
 // WithTokenChecks makes the engine reject orders with stale fencing tokens.
 func WithTokenChecks() EngineOption { return func(e *Engine) { e.checksTokens = true } }
@@ -124,9 +124,9 @@
 	return func(e *Engine) { e.onRun = onRun }
 }
 
-// DefaultSpeed returns a timing that is fast enough for tests and the demo.
-func DefaultSpeed() EngineSpeed {
-	return EngineSpeed{
+// DefaultTiming returns a timing that is fast enough for tests and the demo.
+func DefaultTiming() EngineTiming {
+	return EngineTiming{
 		PrefillTokensPerMs: 20, TokenMs: 5, Slots: 64, CacheTokens: 64_000, ReportLagMs: clock.Second, OrderMs: 200,
 	}
 }
@@ -134,7 +134,7 @@
 // NewEngine returns an engine that serves the given models.
 func NewEngine(name string, models []string, options ...EngineOption) *Engine {
 	e := &Engine{
-		name: name, models: slices.Clone(models), speed: DefaultSpeed(), clock: clock.New(),
+		name: name, models: slices.Clone(models), speed: DefaultTiming(), clock: clock.New(),
 		tracer: noop.NewTracerProvider().Tracer(""), mux: http.NewServeMux(), onRun: func(string) {},
 		streams: map[string]*generation{}, runs: map[string]int{},
 	}
@@ -268,10 +268,10 @@
 	case faults.FailFast:
 		http.Error(w, "internal error", http.StatusInternalServerError)
 	case faults.RefuseNotRun:
-		w.Header().Set(engine.HeaderNotRun, "true")
+		w.Header().Set(engine.HeaderNotExecuted, "true")
 		http.Error(w, "overloaded", http.StatusServiceUnavailable)
 	case !known:
-		w.Header().Set(engine.HeaderNotRun, "true")
+		w.Header().Set(engine.HeaderNotExecuted, "true")
 		http.Error(w, "model not loaded", http.StatusServiceUnavailable)
 	default:
 		return false
