--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -23,7 +23,7 @@
 
 // OrderCounts summarises the orders that an engine received, and its models.
 type OrderCounts struct {
-	Taken    []engine.Order
+	Accepted []engine.Order
 	Overlaps int
 	Stale    int
 	Models   []string
@@ -34,7 +34,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return OrderCounts{
-		Taken: slices.Clone(e.orders.accepted), Overlaps: e.orders.overlaps,
+		Accepted: slices.Clone(e.orders.accepted), Overlaps: e.orders.overlaps,
 		Stale: e.orders.stale, Models: slices.Clone(e.models),
 	}
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -14,7 +14,7 @@
 type Server struct {
 	name   string
 	clock  clock.Clock
-	ledger *RunLedger
+	ledger *RunCounter
 
 	mu     sync.Mutex
 	faults ServerFaults
@@ -32,31 +32,31 @@
 	NoEcho bool `json:"no_echo"`
 }
 
-// RunLedger counts the runs of each idempotency key over all servers of a service.
-type RunLedger struct {
+// RunCounter counts the runs of each idempotency key over all servers of a service.
+type RunCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// NewRunLedger returns a RunLedger without runs.
-func NewRunLedger() *RunLedger { return &RunLedger{runs: map[string]int{}} }
+// NewRunCounter returns a RunCounter without runs.
+func NewRunCounter() *RunCounter { return &RunCounter{runs: map[string]int{}} }
 
 // Add counts one run of a key.
-func (l *RunLedger) Add(key string) {
+func (l *RunCounter) Add(key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[key]++
 }
 
 // Runs returns the number of runs of a key.
-func (l *RunLedger) Runs(key string) int {
+func (l *RunCounter) Runs(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[key]
 }
 
 // All returns the number of runs of each key.
-func (l *RunLedger) All() map[string]int {
+func (l *RunCounter) All() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	runs := make(map[string]int, len(l.runs))
@@ -67,7 +67,7 @@
 }
 
 // NewServer returns a server that counts its runs in ledger.
-func NewServer(name string, ledger *RunLedger, c clock.Clock) *Server {
+func NewServer(name string, ledger *RunCounter, c clock.Clock) *Server {
 	return &Server{name: name, ledger: ledger, clock: c}
 }
 
--- a/internal/table/rows.go
+++ b/internal/table/rows.go
@@ -61,9 +61,9 @@
 
 // Service is one row of the services sheet.
 type Service struct {
-	Name       string
-	Repeatable []Rule
-	DeadlineMs clock.Millis
+	Name            string
+	RepeatableRules []Rule
+	DeadlineMs      clock.Millis
 }
 
 // Rule matches requests to a service by method and path prefix. The method "*"
@@ -73,10 +73,10 @@
 	Prefix string
 }
 
-// MayRepeat reports whether a request to the service may safely run more than
+// IsRepeatable reports whether a request to the service may safely run more than
 // once.
-func (s *Service) MayRepeat(method, path string) bool {
-	return slices.ContainsFunc(s.Repeatable, func(r Rule) bool {
+func (s *Service) IsRepeatable(method, path string) bool {
+	return slices.ContainsFunc(s.RepeatableRules, func(r Rule) bool {
 		return (r.Method == "*" || r.Method == method) && strings.HasPrefix(path, r.Prefix)
 	})
 }
@@ -153,5 +153,5 @@
 		// Parsing cannot fail: the value was validated when the edit was accepted.
 		rules, _ = parseRules(value)
 	}
-	return &Service{Name: name, Repeatable: rules, DeadlineMs: clock.Millis(r.number("deadline_ms", 0))}
+	return &Service{Name: name, RepeatableRules: rules, DeadlineMs: clock.Millis(r.number("deadline_ms", 0))}
 }
--- a/internal/table/state.go
+++ b/internal/table/state.go
@@ -47,8 +47,8 @@
 	ID       string   `json:"id"`
 	Operator string   `json:"operator"`
 	Changes  []Change `json:"changes"`
-	// Before holds the replaced values in the order of Changes.
-	Before []string `json:"before"`
+	// PreviousValues holds the replaced values in the order of Changes.
+	PreviousValues []string `json:"before"`
 	// Removed maps "sheet/row" to the values of a removed row in column order.
 	Removed map[string][]string `json:"removed,omitempty"`
 }
@@ -333,7 +333,7 @@
 func (s *State) appendHistory(before *State, offset int64, edit Edit) {
 	entry := HistoryEntry{Offset: offset, ID: edit.ID, Operator: edit.Operator, Changes: edit.Changes}
 	for _, change := range edit.Changes {
-		entry.Before = append(entry.Before, before.currentCell(change).Value)
+		entry.PreviousValues = append(entry.PreviousValues, before.currentCell(change).Value)
 		if change.Remove {
 			entry.addRemoved(change.Address(), before.Row(change.Sheet, change.Row))
 		}
--- a/internal/tablefile/diff.go
+++ b/internal/tablefile/diff.go
@@ -8,18 +8,18 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// Current is the current table with its history, to which a file is compared.
-type Current struct {
-	Table   operators.TableReply
+// Baseline is the current table with its history, to which a file is compared.
+type Baseline struct {
+	Table   operators.TableResponse
 	History []table.HistoryEntry
 }
 
-// Changes returns the changes that turn the current table into that of the file.
+// Diff returns the changes that turn the current table into that of the file.
 // It skips a cell that others changed since the export if the file still has the
 // exported value. If both sides changed a cell, it returns a change that the table
 // rejects as a conflict, reporting both values. Rows that are missing in the file
 // are removed only if prune is set.
-func Changes(file File, current Current, prune bool) []table.Change {
+func Diff(file File, current Baseline, prune bool) []table.Change {
 	changes := []table.Change{}
 	for _, sheet := range current.Table.Sheets {
 		wanted, present := file.Sheets[sheet.Name]
@@ -86,7 +86,7 @@
 		}
 		for i, change := range entry.Changes {
 			if change.Address() == address {
-				return entry.Before[i]
+				return entry.PreviousValues[i]
 			}
 		}
 	}
--- a/internal/tablefile/tablefile.go
+++ b/internal/tablefile/tablefile.go
@@ -35,7 +35,7 @@
 type Rows map[string]map[string]string
 
 // FromTable returns a file with all non-empty cells of the table.
-func FromTable(reply operators.TableReply) File {
+func FromTable(reply operators.TableResponse) File {
 	file := File{Offset: reply.Offset, Sheets: map[string]Rows{}}
 	for _, sheet := range reply.Sheets {
 		rows := Rows{}
--- a/internal/tablefile/tablefile_test.go
+++ b/internal/tablefile/tablefile_test.go
@@ -15,7 +15,7 @@
 
 // applyEdits applies edits, each a list of changes, to an empty table. It returns
 // the state and the reply that operators get.
-func applyEdits(t *testing.T, edits ...[]table.Change) (*table.State, Current) {
+func applyEdits(t *testing.T, edits ...[]table.Change) (*table.State, Baseline) {
 	t.Helper()
 	state := table.New()
 	for i, changes := range edits {
@@ -25,7 +25,7 @@
 		state, verdict = state.Apply(state.Offset(), data)
 		require.Equal(t, table.Accepted, verdict.Result, "%+v", verdict)
 	}
-	return state, Current{Table: operators.NewTableReply(state), History: state.History()}
+	return state, Baseline{Table: operators.NewTableReply(state), History: state.History()}
 }
 
 func change(row, column, value string, basedOn int64) table.Change {
@@ -44,21 +44,21 @@
 		require.NoError(t, err)
 		decoded, err := DecodeYAML("f", data)
 		require.NoError(t, err)
-		assert.Empty(t, Changes(decoded, current, true))
+		assert.Empty(t, Diff(decoded, current, true))
 	})
 	t.Run("through CSV yields no changes", func(t *testing.T) {
 		data, err := file.EncodeCSV(table.Models)
 		require.NoError(t, err)
 		decoded, err := DecodeCSV("f", table.Models, data)
 		require.NoError(t, err)
-		assert.Empty(t, Changes(decoded, current, true))
+		assert.Empty(t, Diff(decoded, current, true))
 	})
 	t.Run("of an edited CSV file yields the edited cells", func(t *testing.T) {
 		data, err := file.EncodeCSV(table.Models)
 		require.NoError(t, err)
 		decoded, err := DecodeCSV("f", table.Models, []byte(strings.Replace(string(data), "n,200", "n,300", 1)))
 		require.NoError(t, err)
-		assert.Equal(t, []table.Change{change("n", "deadline_ms", "300", 1)}, Changes(decoded, current, true))
+		assert.Equal(t, []table.Change{change("n", "deadline_ms", "300", 1)}, Diff(decoded, current, true))
 	})
 	t.Run("decodes the example table", func(t *testing.T) {
 		data, err := os.ReadFile("../../examples/three-boxes/table.yaml")
@@ -74,12 +74,12 @@
 	file := FromTable(exported.Table)
 	_, current := applyEdits(t, firstEdit(), []table.Change{change("m", "deadline_ms", "150", 1)})
 	t.Run("skips cells that only they changed", func(t *testing.T) {
-		assert.Empty(t, Changes(file, current, false))
+		assert.Empty(t, Diff(file, current, false))
 	})
 	t.Run("conflicts on cells that both changed", func(t *testing.T) {
 		file := FromTable(exported.Table)
 		file.Sheets[table.Models]["m"]["deadline_ms"] = "111"
-		changes := Changes(file, current, false)
+		changes := Diff(file, current, false)
 		require.Len(t, changes, 1)
 		state, _ := applyEdits(t, firstEdit(), []table.Change{change("m", "deadline_ms", "150", 1)})
 		data, err := json.Marshal(table.Edit{ID: "z", Changes: changes})
@@ -91,8 +91,8 @@
 	t.Run("removes rows only if prune is set", func(t *testing.T) {
 		file := FromTable(exported.Table)
 		delete(file.Sheets[table.Models], "n")
-		assert.Empty(t, Changes(file, exported, false))
-		changes := Changes(file, exported, true)
+		assert.Empty(t, Diff(file, exported, false))
+		changes := Diff(file, exported, true)
 		require.Len(t, changes, 1)
 		assert.True(t, changes[0].Remove)
 	})
--- a/internal/tablefile/undo.go
+++ b/internal/tablefile/undo.go
@@ -8,7 +8,7 @@
 // Undo returns the changes that revert an accepted edit. They conflict on cells
 // that were changed again since. A row that the edit created is removed, and a
 // row that it removed is restored.
-func Undo(entry table.HistoryEntry, current operators.TableReply) []table.Change {
+func Undo(entry table.HistoryEntry, current operators.TableResponse) []table.Change {
 	changes := []table.Change{}
 	removed := map[string]bool{}
 	for i, change := range entry.Changes {
@@ -25,7 +25,7 @@
 		default:
 			changes = append(changes, table.Change{
 				Sheet: change.Sheet, Row: change.Row, Column: change.Column,
-				Value: entry.Before[i], BasedOn: entry.Offset + 1,
+				Value: entry.PreviousValues[i], BasedOn: entry.Offset + 1,
 			})
 		}
 	}
@@ -48,7 +48,7 @@
 // before it.
 func wasEmpty(entry table.HistoryEntry, row string) bool {
 	for i, change := range entry.Changes {
-		if change.Sheet+"/"+change.Row == row && entry.Before[i] != "" {
+		if change.Sheet+"/"+change.Row == row && entry.PreviousValues[i] != "" {
 			return false
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 // createdBy reports whether the edit set every non-empty cell of the current row.
-func createdBy(entry table.HistoryEntry, change table.Change, current operators.TableReply) bool {
+func createdBy(entry table.HistoryEntry, change table.Change, current operators.TableResponse) bool {
 	for _, sheet := range current.Sheets {
 		if sheet.Name != change.Sheet {
 			continue
--- a/internal/tablestore/store.go
+++ b/internal/tablestore/store.go
@@ -60,9 +60,9 @@
 // WithLogger sets the logger.
 func WithLogger(logger *zap.Logger) Option { return func(s *Store) { s.logger = logger } }
 
-// WithVerdicts sets a function f that is called with the verdict on each applied
+// WithVerdictCallback sets a function f that is called with the verdict on each applied
 // edit.
-func WithVerdicts(f func(table.Verdict)) Option { return func(s *Store) { s.onVerdict = f } }
+func WithVerdictCallback(f func(table.Verdict)) Option { return func(s *Store) { s.onVerdict = f } }
 
 // New returns a store with an empty table.
 func New(appendRecords Append, options ...Option) *Store {
@@ -94,9 +94,9 @@
 // Tail returns the newest records, which peers read.
 func (s *Store) Tail() *logstream.Tail { return s.tail }
 
-// Record applies one record of the stream. It ignores a record that is not at the
+// ApplyRecord applies one record of the stream. It ignores a record that is not at the
 // next offset, such as one that was already applied.
-func (s *Store) Record(record backing.Record) {
+func (s *Store) ApplyRecord(record backing.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if record.Offset != s.state.Offset() {
@@ -138,8 +138,8 @@
 	s.changed = make(chan struct{})
 }
 
-// ChangedMs returns the time at which the current table became current.
-func (s *Store) ChangedMs() clock.Millis {
+// UpdatedMs returns the time at which the current table became current.
+func (s *Store) UpdatedMs() clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changedMs
@@ -177,10 +177,10 @@
 		if err == nil {
 			return nil
 		}
-		if errors.Is(err, backing.ErrRefused) && !errors.Is(err, backing.ErrThrottled) && !inDoubt {
+		if errors.Is(err, backing.ErrRejected) && !errors.Is(err, backing.ErrThrottled) && !inDoubt {
 			return fmt.Errorf("%w: %w", ErrNotAppended, err)
 		}
-		inDoubt = inDoubt || !errors.Is(err, backing.ErrRefused)
+		inDoubt = inDoubt || !errors.Is(err, backing.ErrRejected)
 		if _, known := s.State().Verdict(id); known {
 			return nil
 		}
--- a/internal/testlib/network.go
+++ b/internal/testlib/network.go
@@ -48,9 +48,9 @@
 
 const firstPort = 20_000
 
-// SetCut partitions the network: for each direction in which the function returns true, new connections fail and
+// SetPartition partitions the network: for each direction in which the function returns true, new connections fail and
 // datagrams are dropped. Existing connections are closed if either of their directions is cut.
-func (n *Network) SetCut(partitioned func(from, to string) bool) {
+func (n *Network) SetPartition(partitioned func(from, to string) bool) {
 	n.mu.Lock()
 	n.partitioned = partitioned
 	severed := []*conn{}
@@ -65,9 +65,9 @@
 	}
 }
 
-// SetSilent silently drops traffic in the directions for which the function returns true: writes appear to succeed, and
+// SetBlackhole silently drops traffic in the directions for which the function returns true: writes appear to succeed, and
 // datagrams are dropped. Connections don't open if either direction is dropped.
-func (n *Network) SetSilent(blackholed func(from, to string) bool) {
+func (n *Network) SetBlackhole(blackholed func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blackholed = blackholed
@@ -96,8 +96,8 @@
 	n.packetDelay = packetDelay
 }
 
-// SetLoss sets a function that is called for each datagram; the datagram is dropped if the function returns true.
-func (n *Network) SetLoss(dropPacket func() bool) {
+// SetPacketLoss sets a function that is called for each datagram; the datagram is dropped if the function returns true.
+func (n *Network) SetPacketLoss(dropPacket func() bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.dropPacket = dropPacket
--- a/internal/testlib/rapid.go
+++ b/internal/testlib/rapid.go
@@ -2,9 +2,10 @@
 
 import "flag"
 
-// SeedRapid fixes the seed of property-based tests, so that every test run generates the same inputs. The
-// command-line flag -rapid.seed overrides the seed. SeedRapid must be called in TestMain, before the tests run.
-func SeedRapid() {
+// FixRapidSeed fixes the seed of property-based tests, so that every test run generates the same inputs. The
+// command-line flag -rapid.seed overrides the seed. FixRapidSeed must be called in TestMain, before the tests
+// run.
+func FixRapidSeed() {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed != nil && seed.Value.String() == "0" {
 		// Set can't fail: the flag accepts any number.
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -46,7 +46,7 @@
 			shutdown: func(context.Context) error { return nil },
 		}, nil
 	}
-	config.Fill(&settings.SamplePercent, defaultSamplePercent)
+	config.SetDefault(&settings.SamplePercent, defaultSamplePercent)
 	provider := sdk.NewTracerProvider(
 		sdk.WithBatcher(exporter),
 		sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(float64(settings.SamplePercent)/percent))),
--- a/internal/transport/control.go
+++ b/internal/transport/control.go
@@ -9,10 +9,10 @@
 // Counter counts bytes that were sent or received.
 type Counter interface{ Add(delta int64) }
 
-// Control returns an HTTP client for control traffic between boxes and to the
+// NewControlClient returns an HTTP client for control traffic between boxes and to the
 // platform. It adds a bearer key to each request and counts the bytes on its
 // connections.
-func Control(settings Settings, key func() string, sent, received Counter) *http.Client {
+func NewControlClient(settings Settings, key func() string, sent, received Counter) *http.Client {
 	dial := settings.Dial
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: settings.ConnectTimeoutMs.Duration()}).DialContext
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -35,8 +35,8 @@
 	TLS *tls.Config
 }
 
-// New returns a transport whose attempts a Watch can track. It uses HTTP/1.1, where
-// abandoning a response closes its connection, so that no later request can read
+// New returns a transport whose attempts an AttemptTracker can track. It uses HTTP/1.1,
+// where abandoning a response closes its connection, so that no later request can read
 // the rest of that response.
 func New(settings Settings) *http.Transport {
 	dial := settings.Dial
@@ -116,11 +116,11 @@
 	return c.started
 }
 
-// Watch tracks the connections that one attempt uses.
-type Watch struct {
-	// Late is called right before each write, which fails if Late returns true. It
-	// may be nil.
-	Late func() bool
+// AttemptTracker tracks the connections that one attempt uses.
+type AttemptTracker struct {
+	// Expired is called right before each write, which fails if Expired returns true.
+	// It may be nil.
+	Expired func() bool
 
 	mu    sync.Mutex
 	conns []attemptConn
@@ -136,11 +136,11 @@
 }
 
 // Context returns a context whose requests are tracked by the watch.
-func (w *Watch) Context(ctx context.Context) context.Context {
+func (w *AttemptTracker) Context(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: w.gotConn})
 }
 
-func (w *Watch) gotConn(info httptrace.GotConnInfo) {
+func (w *AttemptTracker) gotConn(info httptrace.GotConnInfo) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	inner := info.Conn
@@ -152,29 +152,29 @@
 		w.untracked = true
 		return
 	}
-	conn.setExpired(w.Late)
+	conn.setExpired(w.Expired)
 	w.conns = append(w.conns, attemptConn{conn: conn, before: conn.startedBytes()})
 }
 
 // Connected reports whether the attempt got a connection.
-func (w *Watch) Connected() bool {
+func (w *AttemptTracker) Connected() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.untracked || len(w.conns) > 0
 }
 
-// SendBefore returns a context whose requests write nothing at or after the given
+// WithSendDeadline returns a context whose requests write nothing at or after the given
 // instant. The clock is read right before each write, so that a process that was
 // paused after all other checks sends nothing late.
-func SendBefore(ctx context.Context, c clock.Clock, instant clock.Millis) context.Context {
-	watch := &Watch{Late: func() bool { return c.Now() >= instant }}
+func WithSendDeadline(ctx context.Context, c clock.Clock, instant clock.Millis) context.Context {
+	watch := &AttemptTracker{Expired: func() bool { return c.Now() >= instant }}
 	return watch.Context(ctx)
 }
 
-// GiveUp aborts a failed attempt and reports whether it is certain that no byte of
+// Abort aborts a failed attempt and reports whether it is certain that no byte of
 // it was sent. After the call, no more bytes can be sent. It must not be called
 // for an attempt that got a complete response.
-func (w *Watch) GiveUp() (nothingSent bool) {
+func (w *AttemptTracker) Abort() (nothingSent bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	nothingSent = !w.untracked
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -34,18 +34,18 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		require.NoError(t, listener.Close())
-		watch := &Watch{}
+		watch := &AttemptTracker{}
 		require.Error(t, post(watch.Context(t.Context()), t, newClient(), "http://"+listener.Addr().String()))
-		assert.True(t, watch.GiveUp())
+		assert.True(t, watch.Abort())
 	})
 	t.Run("does not report it once bytes were written", func(t *testing.T) {
 		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		}))
 		defer server.Close()
-		watch := &Watch{}
+		watch := &AttemptTracker{}
 		require.Error(t, post(watch.Context(t.Context()), t, newClient(), server.URL))
-		assert.False(t, watch.GiveUp())
+		assert.False(t, watch.Abort())
 	})
 	t.Run("sends nothing after an instant", func(t *testing.T) {
 		requests := 0
@@ -55,9 +55,9 @@
 		// The clock jumps after the connection was opened, as if the process was paused.
 		c := clock.New(clock.WithNow(func() clock.Millis { return now }))
 		client := newClient()
-		require.NoError(t, post(SendBefore(t.Context(), c, 10), t, client, server.URL))
+		require.NoError(t, post(WithSendDeadline(t.Context(), c, 10), t, client, server.URL))
 		now = 10
-		require.Error(t, post(SendBefore(t.Context(), c, 10), t, client, server.URL))
+		require.Error(t, post(WithSendDeadline(t.Context(), c, 10), t, client, server.URL))
 		assert.Equal(t, 1, requests)
 	})
 }
--- a/internal/why/why.go
+++ b/internal/why/why.go
@@ -66,10 +66,10 @@
 	return l.Time.Add(time.Duration(l.BackoffMs) * time.Millisecond)
 }
 
-// Story returns the lines of a request and the state changes that its boxes logged from the
+// RequestLines returns the lines of a request and the state changes that its boxes logged from the
 // span before its first line up to its last line, ordered by time. Earlier state changes are
 // included if they were still in effect, such as the backoff of an upstream.
-func Story(lines []Line, request string, before time.Duration) []Line {
+func RequestLines(lines []Line, request string, before time.Duration) []Line {
 	own := []Line{}
 	boxes := map[string]bool{}
 	for _, line := range lines {
--- a/internal/why/why_test.go
+++ b/internal/why/why_test.go
@@ -30,7 +30,7 @@
 	lines, err := Read(nil, strings.NewReader(log))
 	require.NoError(t, err)
 	t.Run("returns the request's lines and its box's earlier state changes in order", func(t *testing.T) {
-		story := Story(lines, "r1", 5*time.Second)
+		story := RequestLines(lines, "r1", 5*time.Second)
 		assert.Equal(t, []string{"a dependency lost", "a upstream picked", "a attempt failed"}, messages(story))
 	})
 	t.Run("includes an upstream backoff that was still in effect", func(t *testing.T) {
@@ -38,14 +38,14 @@
 		for restMs, want := range map[string]int{"1900": 0, "2000": 1} {
 			more, err := Read(nil, strings.NewReader(log+strings.Replace(rest, "%s", restMs, 1)))
 			require.NoError(t, err)
-			assert.Len(t, Story(more, "r1", 0), 2+want, restMs)
+			assert.Len(t, RequestLines(more, "r1", 0), 2+want, restMs)
 		}
 	})
 	t.Run("returns nothing for an unknown request", func(t *testing.T) {
-		assert.Empty(t, Story(lines, "r9", time.Hour))
+		assert.Empty(t, RequestLines(lines, "r9", time.Hour))
 	})
 	t.Run("formats each line as text", func(t *testing.T) {
-		story := Story(lines, "r1", 0)
+		story := RequestLines(lines, "r1", 0)
 		assert.Equal(t, `00:00:02.000 a upstream picked rank=0 upstream="u1"`, story[0].Text())
 	})
 }
--- a/pkg/config/fill.go
+++ b/pkg/config/fill.go
@@ -1,7 +1,7 @@
 package config
 
-// Fill sets a setting to its default if the file left it unset.
-func Fill[T comparable](setting *T, defaultValue T) {
+// SetDefault sets a setting to its default if the file left it unset.
+func SetDefault[T comparable](setting *T, defaultValue T) {
 	var zero T
 	if *setting == zero {
 		*setting = defaultValue
--- a/pkg/config/gateway.go
+++ b/pkg/config/gateway.go
@@ -35,7 +35,7 @@
 	Quarantine Quarantine `yaml:"quarantine"`
 	Shutdown   Shutdown   `yaml:"shutdown"`
 	Capacity   Capacity   `yaml:"capacity"`
-	Lines      Lines      `yaml:"lines"`
+	LogLimits  LogLimits  `yaml:"lines"`
 }
 
 // Store is the store from which the routing state and the upstreams are read.
@@ -59,13 +59,13 @@
 	// on days with 8 s of such silence 0.840 of the value is earned, against 0.755 with a limit
 	// of 5 s (means of three paired days, standard error 0.005).
 	MaxAgeMs int64 `yaml:"max_age_ms"`
-	// InForceMs is the time within which a version accepted by the store must be active on
+	// MaxPropagationMs is the time within which a version accepted by the store must be active on
 	// every box. If the last confirmation is older, a box may have missed a version: it asks
 	// callers with an unknown route or key to retry later.
-	InForceMs int64 `yaml:"in_force_ms"`
-	// LeaveMs is how long a box may still send requests to an upstream that has announced
+	MaxPropagationMs int64 `yaml:"in_force_ms"`
+	// MaxDrainNoticeMs is how long a box may still send requests to an upstream that has announced
 	// its shutdown.
-	LeaveMs int64 `yaml:"leave_ms"`
+	MaxDrainNoticeMs int64 `yaml:"leave_ms"`
 }
 
 // Balance configures load balancing.
@@ -118,8 +118,8 @@
 	OpenFiles int `yaml:"open_files"`
 }
 
-// Lines limits the rate of log lines.
-type Lines struct {
+// LogLimits limits the rate of log lines.
+type LogLimits struct {
 	// MaxPerSecond is the maximum number of log lines written per second.
 	MaxPerSecond int `yaml:"max_per_second"`
 }
@@ -165,8 +165,8 @@
 	for _, rule := range []rangeCheck{
 		{"store.poll_ms", g.Store.PollMs, 50, 30_000},
 		{"freshness.max_age_ms", g.Freshness.MaxAgeMs, 500, dayMs},
-		{"freshness.in_force_ms", g.Freshness.InForceMs, minFreshnessBoundMs, dayMs},
-		{"freshness.leave_ms", g.Freshness.LeaveMs, minFreshnessBoundMs, dayMs},
+		{"freshness.in_force_ms", g.Freshness.MaxPropagationMs, minFreshnessBoundMs, dayMs},
+		{"freshness.leave_ms", g.Freshness.MaxDrainNoticeMs, minFreshnessBoundMs, dayMs},
 		{"balance.bound_percent", int64(g.Balance.BoundPercent), 101, 1000},
 		{"balance.eject_base_ms", g.Balance.EjectBaseMs, 1, dayMs},
 		{"balance.eject_max_ms", g.Balance.EjectMaxMs, 1, dayMs},
@@ -175,7 +175,7 @@
 		{"retry_budget.slack", int64(g.Budget.Slack), 1, million},
 		{"capacity.memory_mb", g.Capacity.MemoryMb, 16, million},
 		{"capacity.open_files", int64(g.Capacity.OpenFiles), 64, million},
-		{"lines.max_per_second", int64(g.Lines.MaxPerSecond), 1, million},
+		{"lines.max_per_second", int64(g.LogLimits.MaxPerSecond), 1, million},
 	} {
 		errs = append(errs, rule.check())
 	}
