--- a/internal/backing/backing.go
+++ b/internal/backing/backing.go
@@ -63,7 +63,8 @@
 }
 
 // Append atomically appends the records to a stream and returns the offset of the first. After
-// ErrRejected, nothing was appended. After ErrUnavailable, the records may or may not have been appended.
+// ErrRejected, nothing was appended. After ErrUnavailable, the records may or may not have been
+// appended.
 func (l Log) Append(ctx context.Context, stream string, records ...json.RawMessage) (int64, error) {
 	body, err := json.Marshal(AppendRequest{Records: records})
 	if err != nil {
@@ -164,7 +165,8 @@
 	return err
 }
 
-// roundTrip makes a call and decodes the reply body into value, unless value is nil or the status is 304.
+// roundTrip makes a call and decodes the reply body into value, unless value is nil or the status
+// is 304.
 func roundTrip(ctx context.Context, c jsonhttp.Call, value any) (jsonhttp.Reply, error) {
 	c.Limit = maxReplyBytes
 	reply, err := c.Do(ctx)
--- a/internal/balance/probes.go
+++ b/internal/balance/probes.go
@@ -87,8 +87,9 @@
 	return all[:min(maxProbeTargets, len(all))]
 }
 
-// RecordProbe records the result of a probe: opened is set if any connection was opened, or was refused
-// by a reachable host. It returns how long the path was partitioned, and whether its state changed.
+// RecordProbe records the result of a probe: opened is set if any connection was opened, or was
+// refused by a reachable host. It returns how long the path was partitioned, and whether its state
+// changed.
 func (m *Manager) RecordProbe(name string, opened bool) (partitionMs clock.Millis, changed bool) {
 	partitionMs, changed, callbacks := m.recordProbe(name, opened)
 	for _, callback := range callbacks {
--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -176,8 +176,8 @@
 }
 
 // Run serves requests until the context ends or Drain is called, and then shuts down
-// gracefully: running requests finish first. If a listener fails, Run shuts down as well and
-// returns the error.
+// gracefully: running requests finish first. If a listener fails, Run shuts down as well
+// and returns the error.
 func (b *Box) Run(ctx context.Context) error {
 	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopBackground()
--- a/internal/box/build.go
+++ b/internal/box/build.go
@@ -186,7 +186,9 @@
 	})
 	peersHandler := http.NewServeMux()
 	b.callers.PeerRoutes(peersHandler)
-	peers.Routes(peersHandler, peers.Dependencies{Store: b.store, Claim: b.claims.ClaimLocal, Submit: b.claims.SubmitLocal})
+	peers.Routes(peersHandler, peers.Dependencies{
+		Store: b.store, Claim: b.claims.ClaimLocal, Submit: b.claims.SubmitLocal,
+	})
 	operatorsHandler := operators.New(operators.Dependencies{
 		Store: b.store, Pools: b.pools, Status: func() any { return b.Status() }, Drain: b.Drain, Metrics: b.metrics,
 	})
--- a/internal/capacity/callbytes.go
+++ b/internal/capacity/callbytes.go
@@ -151,5 +151,6 @@
 	}, 1_800_000_000)
 	facts := targetFacts()
 	facts.Boxes = listedBoxes
-	return float64(len(node.SendDomainFacts("a", membership.NewID("north"), 1_800_000_000_000, facts)[0].Body) + framingBytes)
+	return float64(
+		len(node.SendDomainFacts("a", membership.NewID("north"), 1_800_000_000_000, facts)[0].Body) + framingBytes)
 }
--- a/internal/capacity/calls.go
+++ b/internal/capacity/calls.go
@@ -28,7 +28,8 @@
 // callSizes are the numbers of calls per measurement.
 var callSizes = []int{2000, 5000, 10_000, 20_000}
 
-// measureCalls measures the processor time of calls. The slope is the cost of a single call.
+// measureCalls measures the processor time of calls. The slope is the cost of a single
+// call.
 func measureCalls() []Slope {
 	const micro = 1000
 	slopeOf := func(name string, calls func(count int)) Slope {
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -241,7 +241,7 @@
 				return nanoseconds(func() {
 					i++
 					box := grant.Box(i % boxes)
-					ledger.Ask(grant.Ask{Place: grant.Place(i % 4), Box: box, InFlight: 1, Total: 240}, standing, 0)
+					ledger.Ask(grant.Ask{MemberID: grant.MemberID(i % 4), Box: box, InFlight: 1, Total: 240}, standing, 0)
 				}) / kilo
 			}),
 		measure(Slope{Name: "grants: memory of remembered sessions", Against: "sessions", Unit: "MB"}, sessionSizes,
@@ -249,7 +249,7 @@
 				return heapBytes(func() *grant.Directory {
 					d := grant.NewDirectory()
 					for i := range sessions {
-						d.Set(grant.Session(i*2654435761), grant.Place(i))
+						d.Set(grant.Session(i*2654435761), grant.MemberID(i))
 					}
 					return d
 				}) / mega
--- a/internal/cmd/operatorcmd/why.go
+++ b/internal/cmd/operatorcmd/why.go
@@ -16,8 +16,8 @@
 // errNoLogLines sets the exit code if no log line names the request.
 var errNoLogLines = errors.New("no log line names this request")
 
-// defaultLookback is how long before a request the state changes of its boxes are shown. It is
-// longer than keys are accepted without a confirmation from the store.
+// defaultLookback is how long before a request the state changes of its boxes are shown.
+// It is longer than keys are accepted without a confirmation from the store.
 const defaultLookback = 10 * time.Second
 
 func (p *app) whyCommand() *cli.Command {
--- a/internal/decision/log.go
+++ b/internal/decision/log.go
@@ -16,7 +16,8 @@
 	// MaxLinesPerSecond is the maximum number of lines written in each window of one
 	// second. Routine lines may use at most half of it.
 	MaxLinesPerSecond int
-	// QueueCapacity is the capacity of each of the two event queues (important and routine).
+	// QueueCapacity is the capacity of each of the two event queues (important and
+	// routine).
 	QueueCapacity int
 }
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -140,7 +140,8 @@
 // RemainingMs returns the time left before the deadline.
 func (x *Exchange) RemainingMs(now clock.Millis) clock.Millis { return x.Deadline - now }
 
-// SetOutcomeHeaders sets the headers that every response has, unless the response has already started.
+// SetOutcomeHeaders sets the headers that every response has, unless the response has already
+// started.
 func (x *Exchange) SetOutcomeHeaders() {
 	if x.Writer.Started() {
 		return
--- a/internal/exchange/writer.go
+++ b/internal/exchange/writer.go
@@ -51,8 +51,8 @@
 // FlushNow sends buffered data.
 func (w *Writer) FlushNow() error { return w.controller.Flush() }
 
-// SetReadTimeout sets the time within which the rest of the request must be read; 0 removes the limit. It
-// has no effect on connections that don't support deadlines.
+// SetReadTimeout sets the time within which the rest of the request must be read; 0 removes the
+// limit. It has no effect on connections that don't support deadlines.
 func (w *Writer) SetReadTimeout(span time.Duration) {
 	deadline := time.Time{}
 	if span > 0 {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -52,7 +52,8 @@
 // DrainingAnnounced counts an upstream that announced in a response that it is draining.
 func (m *Metrics) DrainingAnnounced() { m.all.Add("upstream_leavings_heard", 1) }
 
-// PromptTokensPrefilled counts the tokens of shared prompt parts that an engine probably has to prefill, by reason.
+// PromptTokensPrefilled counts the tokens of shared prompt parts that an engine probably
+// has to prefill, by reason.
 func (m *Metrics) PromptTokensPrefilled(reason string, tokens int) {
 	m.all.Add("prompt_tokens_read_"+strings.ReplaceAll(reason, " ", "_"), int64(tokens))
 }
--- a/internal/grant/agent.go
+++ b/internal/grant/agent.go
@@ -11,7 +11,7 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// ErrNoAnswer means that an owner did not reply in time or does not know the place. The requesting
+// ErrNoAnswer means that an owner did not reply in time or does not know the member. The requesting
 // box then decides by itself.
 var ErrNoAnswer = errors.New("owner did not reply")
 
@@ -25,7 +25,7 @@
 	backoffMs = clock.Second
 )
 
-// Owner is the box that owns a place.
+// Owner is the box that owns a member.
 type Owner struct {
 	Name    string
 	Address string
@@ -33,14 +33,14 @@
 	Self bool
 }
 
-// Agent grants slots on the places that this box owns and requests slots from the owners of other
-// places. It is safe for concurrent use.
+// Agent grants slots on the members that this box owns and requests slots from the owners of other
+// members. It is safe for concurrent use.
 type Agent struct {
-	box      Box
-	send     func(address string, body []byte)
-	memberState func(place Place) (MemberState, bool)
-	clock    clock.Clock
-	logger   *zap.Logger
+	box         Box
+	send        func(address string, body []byte)
+	memberState func(memberID MemberID) (MemberState, bool)
+	clock       clock.Clock
+	logger      *zap.Logger
 
 	mu        sync.Mutex
 	ledger    *Ledger
@@ -51,9 +51,9 @@
 }
 
 // NewAgent returns an agent. The send function sends a body on the channel. The memberState function
-// returns the state of a place in its pool.
+// returns the state of a member in its pool.
 func NewAgent(
-	box Box, send func(address string, body []byte), memberState func(place Place) (MemberState, bool),
+	box Box, send func(address string, body []byte), memberState func(memberID MemberID) (MemberState, bool),
 	c clock.Clock, logger *zap.Logger,
 ) *Agent {
 	return &Agent{
@@ -67,16 +67,16 @@
 type Query struct {
 	Question
 	Session Session
-	// First is set when the place is the session's first choice.
+	// First is set when the member is the session's first choice.
 	First    bool
 	InFlight int
 	Total    int
 }
 
-// Ask sends a question to a place's owner.
+// Ask sends a question to a member's owner.
 func (a *Agent) Ask(ctx context.Context, owner Owner, q Query) (Reply, error) {
 	message := askMessage{
-		Box: a.box, Place: q.Place, Session: q.Session, Flags: q.flags(),
+		Box: a.box, MemberID: q.MemberID, Session: q.Session, Flags: q.flags(),
 		InFlight: clamp(q.InFlight), Total: clamp(q.Total),
 	}
 	if owner.Self {
@@ -103,7 +103,7 @@
 
 func clamp(count int) uint16 { return uint16(min(max(0, count), math.MaxUint16)) }
 
-// checkKnown returns ErrNoAnswer for a reply of an owner that does not know the place.
+// checkKnown returns ErrNoAnswer for a reply of an owner that does not know the member.
 func checkKnown(r Reply) (Reply, error) {
 	if r.unknown {
 		return Reply{}, ErrNoAnswer
@@ -125,8 +125,8 @@
 			flags |= f.flag
 		}
 	}
-	over := int8(min(max(r.Excess, math.MinInt8), math.MaxInt8))
-	return encodeMessage(kindReply, replyMessage{Sequence: sequence, Flags: flags, Excess: over})
+	excess := int8(min(max(r.Excess, math.MinInt8), math.MaxInt8))
+	return encodeMessage(kindReply, replyMessage{Sequence: sequence, Flags: flags, Excess: excess})
 }
 
 func (m replyMessage) reply() Reply {
@@ -188,9 +188,10 @@
 	a.backoff[owner] = a.clock.Now() + backoffMs
 }
 
-// ReportInFlight reports the number of requests that this box has in flight on a place to the place's owner.
-func (a *Agent) ReportInFlight(owner Owner, place Place, held int) {
-	message := inFlightMessage{Box: a.box, Place: place, InFlight: clamp(held)}
+// ReportInFlight reports the number of requests that this box has in flight on a member to the
+// member's owner.
+func (a *Agent) ReportInFlight(owner Owner, memberID MemberID, inFlight int) {
+	message := inFlightMessage{Box: a.box, MemberID: memberID, InFlight: clamp(inFlight)}
 	if owner.Self {
 		a.applyHold(message)
 		return
@@ -200,9 +201,10 @@
 	}
 }
 
-// NotifyPlacement informs the owner of a session's first choice of the place that the session was sent to.
-func (a *Agent) NotifyPlacement(owner Owner, session Session, place Place) {
-	message := placementMessage{Session: session, Place: place}
+// NotifyPlacement informs the owner of a session's first choice of the member that the session was
+// sent to.
+func (a *Agent) NotifyPlacement(owner Owner, session Session, memberID MemberID) {
+	message := placementMessage{Session: session, MemberID: memberID}
 	if owner.Self {
 		a.applyNews(message)
 		return
@@ -278,22 +280,22 @@
 func (a *Agent) applyHold(m inFlightMessage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ledger.SetInFlight(m.Place, m.Box, int(m.InFlight), a.clock.Now())
+	a.ledger.SetInFlight(m.MemberID, m.Box, int(m.InFlight), a.clock.Now())
 }
 
 func (a *Agent) applyNews(m placementMessage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.directory.Set(m.Session, m.Place)
+	a.directory.Set(m.Session, m.MemberID)
 }
 
-// decide replies to a question as the place's owner.
+// decide replies to a question as the member's owner.
 func (a *Agent) decide(m askMessage) Reply {
-	memberState, known := a.memberState(m.Place)
+	memberState, known := a.memberState(m.MemberID)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if m.Flags&flagLookup != 0 {
-		if hint, found := a.directory.Find(m.Session); found && hint != m.Place {
+		if hint, found := a.directory.Find(m.Session); found && hint != m.MemberID {
 			return Reply{Hint: hint}
 		}
 	}
@@ -305,11 +307,12 @@
 	case memberState.Unavailable:
 		return Reply{Unavailable: true}
 	}
-	granted, over := a.ledger.Ask(Ask{
-		Place: m.Place, Box: m.Box, InFlight: int(m.InFlight), Total: int(m.Total), BelowMean: m.Flags&flagBelowMean != 0,
+	granted, excess := a.ledger.Ask(Ask{
+		MemberID: m.MemberID, Box: m.Box, InFlight: int(m.InFlight), Total: int(m.Total),
+		BelowMean: m.Flags&flagBelowMean != 0,
 	}, memberState, a.clock.Now())
 	if granted && m.Flags&flagFirst != 0 {
 		a.directory.Remove(m.Session)
 	}
-	return Reply{Granted: granted, Excess: over}
+	return Reply{Granted: granted, Excess: excess}
 }
--- a/internal/grant/directory.go
+++ b/internal/grant/directory.go
@@ -12,30 +12,30 @@
 // sessions in two generations. It must not be used by several goroutines at a time. Losing it costs
 // cache hits but does not affect correctness.
 type Directory struct {
-	previous, current map[Session]Place
+	previous, current map[Session]MemberID
 }
 
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
-	return &Directory{previous: map[Session]Place{}, current: map[Session]Place{}}
+	return &Directory{previous: map[Session]MemberID{}, current: map[Session]MemberID{}}
 }
 
-// Find returns the last recorded place of a session.
-func (d *Directory) Find(session Session) (Place, bool) {
-	if place, found := d.current[session]; found {
-		return place, true
+// Find returns the last recorded member of a session.
+func (d *Directory) Find(session Session) (MemberID, bool) {
+	if memberID, found := d.current[session]; found {
+		return memberID, true
 	}
-	place, found := d.previous[session]
-	return place, found
+	memberID, found := d.previous[session]
+	return memberID, found
 }
 
-// Set records the place of a session.
-func (d *Directory) Set(session Session, place Place) {
+// Set records the member of a session.
+func (d *Directory) Set(session Session, memberID MemberID) {
 	if len(d.current) >= generationSize {
 		d.previous = d.current
-		d.current = map[Session]Place{}
+		d.current = map[Session]MemberID{}
 	}
-	d.current[session] = place
+	d.current[session] = memberID
 }
 
 // Remove deletes a session that is at its first choice again.
--- a/internal/grant/ledger.go
+++ b/internal/grant/ledger.go
@@ -17,8 +17,8 @@
 // Box is the ID of a box in messages.
 type Box = membership.ID
 
-// Place is the ID of an upstream within a pool in messages.
-type Place uint32
+// MemberID is the ID of an upstream as a member of a pool, as used in messages.
+type MemberID uint32
 
 // Settings are the expiry times of a ledger.
 type Settings struct {
@@ -38,7 +38,7 @@
 // several goroutines at a time.
 type Ledger struct {
 	settings Settings
-	places   map[Place]*counts
+	members  map[MemberID]*counts
 	totals   map[totalKey]reportedCount
 	// reported is a scratch buffer of mean.
 	reported []int
@@ -64,14 +64,15 @@
 
 // NewLedger returns an empty ledger.
 func NewLedger(settings Settings) *Ledger {
-	return &Ledger{settings: settings, places: map[Place]*counts{}, totals: map[totalKey]reportedCount{}}
+	return &Ledger{settings: settings, members: map[MemberID]*counts{}, totals: map[totalKey]reportedCount{}}
 }
 
 // Ask is a box's request for one slot.
 type Ask struct {
-	Place Place
-	Box   Box
-	// InFlight is the number of requests that the box has in flight on the upstream if it gets the slot.
+	MemberID MemberID
+	Box      Box
+	// InFlight is the number of requests that the box has in flight on the upstream if it gets the
+	// slot.
 	InFlight int
 	// Total is the number of requests that the box has in flight on the whole pool if it gets the
 	// slot.
@@ -96,27 +97,27 @@
 }
 
 // Ask grants a slot if the upstream stays within the load bound and its slots, and if it meets the
-// condition of BelowMean. over is the number of requests by which the upstream would exceed the limit.
-// It is not positive when the slot is granted.
-func (l *Ledger) Ask(a Ask, s MemberState, now clock.Millis) (granted bool, over int) {
+// condition of BelowMean. excess is the number of requests by which the upstream would exceed the
+// limit. It is not positive when the slot is granted.
+func (l *Ledger) Ask(a Ask, s MemberState, now clock.Millis) (granted bool, excess int) {
 	l.totals[totalKey{pool: s.Pool, box: a.Box}] = reportedCount{count: a.Total, receivedMs: now}
-	c := l.counts(a.Place)
+	c := l.counts(a.MemberID)
 	c.set(a.Box, a.InFlight, now)
 	l.expire(c, now)
 	mean := l.mean(s, now)
-	over = c.sum - min(Limit(mean, s.BoundPercent), s.Slots)
-	if over <= 0 && (!a.BelowMean || float64(c.sum) <= math.Ceil(settleFraction*mean)) {
-		return true, over
+	excess = c.sum - min(Limit(mean, s.BoundPercent), s.Slots)
+	if excess <= 0 && (!a.BelowMean || float64(c.sum) <= math.Ceil(belowMeanFraction*mean)) {
+		return true, excess
 	}
 	c.set(a.Box, a.InFlight-1, now)
-	return false, over
+	return false, excess
 }
 
-func (l *Ledger) counts(place Place) *counts {
-	c := l.places[place]
+func (l *Ledger) counts(memberID MemberID) *counts {
+	c := l.members[memberID]
 	if c == nil {
 		c = &counts{byBox: map[Box]reportedCount{}}
-		l.places[place] = c
+		l.members[memberID] = c
 	}
 	return c
 }
@@ -166,10 +167,10 @@
 	return load * s.WeightFraction
 }
 
-// settleFraction is the fraction of the mean up to which an upstream accepts a session that has no
+// belowMeanFraction is the fraction of the mean up to which an upstream accepts a session that has no
 // cached prefix there. The margin below the mean leaves capacity for later turns of the sessions
 // that are already there.
-const settleFraction = 0.9
+const belowMeanFraction = 0.9
 
 // smallMean is the mean below which the bound is rounded up. Below it, one request is more than an
 // eighth of the mean, and rounding down would leave upstreams no capacity above the mean at all.
@@ -186,8 +187,8 @@
 }
 
 // SetInFlight records the number of requests that a box has in flight on an upstream.
-func (l *Ledger) SetInFlight(place Place, box Box, held int, now clock.Millis) {
-	l.counts(place).set(box, held, now)
+func (l *Ledger) SetInFlight(memberID MemberID, box Box, inFlight int, now clock.Millis) {
+	l.counts(memberID).set(box, inFlight, now)
 }
 
 // RemoveBox removes all counts of a box that has left.
@@ -197,18 +198,18 @@
 			delete(l.totals, key)
 		}
 	}
-	for place, c := range l.places {
+	for memberID, c := range l.members {
 		c.set(box, 0, 0)
 		if len(c.byBox) == 0 {
-			delete(l.places, place)
+			delete(l.members, memberID)
 		}
 	}
 }
 
 // InFlight returns the number of requests in flight on an upstream according to the reports that
 // this owner received.
-func (l *Ledger) InFlight(place Place) int {
-	if c := l.places[place]; c != nil {
+func (l *Ledger) InFlight(memberID MemberID) int {
+	if c := l.members[memberID]; c != nil {
 		return c.sum
 	}
 	return 0
--- a/internal/grant/sizes.go
+++ b/internal/grant/sizes.go
@@ -9,10 +9,10 @@
 func WireSizes() Sizes {
 	const envelope = 1 + MACBytes
 	return Sizes{
-		Ask:   envelope + len(encodeMessage(kindAsk, askMessage{})),
-		Reply: envelope + len(encodeMessage(kindReply, replyMessage{})),
-		Hint:  envelope + len(encodeMessage(kindHint, hintMessage{})),
+		Ask:       envelope + len(encodeMessage(kindAsk, askMessage{})),
+		Reply:     envelope + len(encodeMessage(kindReply, replyMessage{})),
+		Hint:      envelope + len(encodeMessage(kindHint, hintMessage{})),
 		InFlight:  envelope + len(encodeMessage(kindInFlight, inFlightMessage{})),
-		Placement:  envelope + len(encodeMessage(kindPlacement, placementMessage{})),
+		Placement: envelope + len(encodeMessage(kindPlacement, placementMessage{})),
 	}
 }
--- a/internal/grant/wire.go
+++ b/internal/grant/wire.go
@@ -42,7 +42,7 @@
 type askMessage struct {
 	Sequence uint16
 	Box      Box
-	Place    Place
+	MemberID MemberID
 	Session  Session
 	Flags    byte
 	InFlight uint16
@@ -56,24 +56,24 @@
 	Excess   int8
 }
 
-// hintMessage is the reply that names the place with the session's cached prefix.
+// hintMessage is the reply that names the member with the session's cached prefix.
 type hintMessage struct {
 	Sequence uint16
-	Hint     Place
+	Hint     MemberID
 }
 
 // inFlightMessage reports the number of requests that a box has in flight on an upstream.
 type inFlightMessage struct {
 	Box      Box
-	Place    Place
+	MemberID MemberID
 	InFlight uint16
 }
 
-// placementMessage informs the owner of a session's first choice of the place that the session was sent
-// to.
+// placementMessage informs the owner of a session's first choice of the member that the session was
+// sent to.
 type placementMessage struct {
-	Session Session
-	Place   Place
+	Session  Session
+	MemberID MemberID
 }
 
 // encodeMessage returns the kind followed by the encoded message. Encoding can't fail, because
--- a/internal/load/demo.go
+++ b/internal/load/demo.go
@@ -283,7 +283,7 @@
 type demoReport struct {
 	chats, serviceCalls Summary
 	lines               [][2]string
-	violations            []Violation
+	violations          []Violation
 }
 
 func (d *demo) report() *demoReport {
--- a/internal/load/latency.go
+++ b/internal/load/latency.go
@@ -19,8 +19,8 @@
 // LatencyResult holds the latencies of requests through a router and directly to the engines, both measured in the same
 // run, and the load at which they were measured.
 type LatencyResult struct {
-	// MaxRequestsPerSecond is the maximum throughput of the whole process in requests per second: the router, the callers and
-	// the stand-in engines share its cores.
+	// MaxRequestsPerSecond is the maximum throughput of the whole process in requests per second: the router, the
+	// callers and the stand-in engines share its cores.
 	MaxRequestsPerSecond float64 `json:"held_per_second"`
 	PerSecond            float64 `json:"per_second"`
 	Cores                int     `json:"cores"`
--- a/internal/localfleet/control_test.go
+++ b/internal/localfleet/control_test.go
@@ -397,8 +397,8 @@
 				{Sheet: table.Organisations, Row: "choir", Column: "rate_per_s", Value: "90"},
 			}})
 			require.NoError(tf.t, err)
-			// sendFor sends four times as many requests to the first box as to each of the others. It returns the number of
-			// admitted requests.
+			// sendFor sends four times as many requests to the first box as to each of the others. It returns the
+			// number of admitted requests.
 			sendFor := func(duration clock.Millis) (admitted int) {
 				results := make(chan bool, 10_000)
 				sent := 0
--- a/internal/mesh/packet.go
+++ b/internal/mesh/packet.go
@@ -74,8 +74,8 @@
 	// Announcements are prompt parts that the sender's requests put into engine caches and that it
 	// has not sent to this receiver yet.
 	Announcements []prompt.CachedPart `cbor:"8,keyasint,omitempty"`
-	// CrashEvents are the sender's reports of crashed upstreams that the receiver has not acknowledged.
-	// CrashEventsNext is the sequence number that follows them.
+	// CrashEvents are the sender's reports of crashed upstreams that the receiver has not
+	// acknowledged. CrashEventsNext is the sequence number that follows them.
 	CrashEvents     []quarantine.CrashEvent `cbor:"9,keyasint,omitempty"`
 	CrashEventsNext int64                   `cbor:"10,keyasint,omitempty"`
 	// CrashEventsAcked acknowledges the receiver's reports up to this sequence number.
@@ -85,8 +85,8 @@
 	InFlightByPool map[namekey.Key]int `cbor:"12,keyasint,omitempty"`
 }
 
-// maxPacketBytes is the size of the receive buffer. The limits on cached parts, crashes and named boxes
-// keep most datagrams small enough not to be fragmented on common links.
+// maxPacketBytes is the size of the receive buffer. The limits on cached parts, crashes and named
+// boxes keep most datagrams small enough not to be fragmented on common links.
 const maxPacketBytes = 8 << 10
 
 func (p *packet) encode() ([]byte, error) {
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -25,10 +25,10 @@
 	now   func() clock.Millis
 
 	mu      sync.Mutex
-	reports map[grant.Place]report
+	reports map[grant.MemberID]report
 }
 
-// report describes the last count of requests in flight that was sent for a place.
+// report describes the last count of requests in flight that was sent for a member.
 type report struct {
 	owner  string
 	sentMs clock.Millis
@@ -38,7 +38,7 @@
 func New(
 	pools *pool.Manager, agent *grant.Agent, owner func(box string) grant.Owner, now func() clock.Millis,
 ) *Picker {
-	return &Picker{pools: pools, agent: agent, owner: owner, now: now, reports: map[grant.Place]report{}}
+	return &Picker{pools: pools, agent: agent, owner: owner, now: now, reports: map[grant.MemberID]report{}}
 }
 
 // Request is the input of a selection.
@@ -54,7 +54,7 @@
 type selection struct {
 	p       *Picker
 	request Request
-	members map[grant.Place]pool.Member
+	members map[grant.MemberID]pool.Member
 	search  *grant.Search
 	first   pool.Member
 }
@@ -66,14 +66,14 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &selection{p: p, request: r, members: map[grant.Place]pool.Member{}, first: ranking.First}
-	open := make([]grant.Place, 0, len(ranking.Open))
-	s.members[ranking.First.Place] = ranking.First
+	s := &selection{p: p, request: r, members: map[grant.MemberID]pool.Member{}, first: ranking.First}
+	open := make([]grant.MemberID, 0, len(ranking.Open))
+	s.members[ranking.First.MemberID] = ranking.First
 	for _, member := range ranking.Open {
-		s.members[member.Place] = member
-		open = append(open, member.Place)
+		s.members[member.MemberID] = member
+		open = append(open, member.MemberID)
 	}
-	s.search = grant.NewSearch(ranking.First.Place, open, r.FirstTurn)
+	s.search = grant.NewSearch(ranking.First.MemberID, open, r.FirstTurn)
 	return s.run(ctx)
 }
 
@@ -85,18 +85,18 @@
 		}
 		lease, reply := s.ask(ctx, question)
 		if s.search.HandleReply(question, reply) {
-			s.notifyFirstOwner(question.Place)
+			s.notifyFirstOwner(question.MemberID)
 			return lease, nil
 		}
 	}
 }
 
-// ask sends a question to a place's owner. The lease is nil unless the slot is granted. If the
+// ask sends a question to a member's owner. The lease is nil unless the slot is granted. If the
 // owner does not answer, this box's own part of the load bound decides.
 func (s *selection) ask(ctx context.Context, q grant.Question) (*pool.Lease, grant.Reply) {
-	member := s.members[q.Place]
+	member := s.members[q.MemberID]
 	owner := s.p.owner(member.Owner)
-	query := grant.Query{Question: q, Session: s.session(), First: q.Place == s.first.Place}
+	query := grant.Query{Question: q, Session: s.session(), First: q.MemberID == s.first.MemberID}
 	if !q.WantSlot {
 		// Without an answer, the session is treated as one without a cached prefix.
 		reply, _ := s.p.agent.Ask(ctx, owner, query)
@@ -121,8 +121,8 @@
 
 func (s *selection) session() grant.Session { return grant.Session(s.request.Key) }
 
-// notifyFirstOwner informs the owner of the first choice which place the session was sent to.
-func (s *selection) notifyFirstOwner(granted grant.Place) {
+// notifyFirstOwner informs the owner of the first choice which member the session was sent to.
+func (s *selection) notifyFirstOwner(granted grant.MemberID) {
 	if s.search.MustNotify(granted) {
 		s.p.agent.NotifyPlacement(s.p.owner(s.first.Owner), s.session(), granted)
 	}
@@ -131,36 +131,36 @@
 // forceLeastLoaded takes the least loaded upstream that was asked when all are above the bound.
 // Refusing would reject a request that an engine can still queue.
 func (s *selection) forceLeastLoaded() (*pool.Lease, error) {
-	place, found := s.search.LeastLoaded()
+	memberID, found := s.search.LeastLoaded()
 	if !found {
 		return nil, fmt.Errorf("%w: %s", route.ErrSaturated, s.request.Pool)
 	}
-	member := s.members[place]
+	member := s.members[memberID]
 	reserved, found := s.p.pools.Reserve(s.request.Pool, member.Name)
 	if !found {
 		return nil, fmt.Errorf("%w: %s", route.ErrNoUpstream, s.request.Pool)
 	}
-	s.p.agent.ReportInFlight(s.p.owner(member.Owner), place, reserved.InFlight)
+	s.p.agent.ReportInFlight(s.p.owner(member.Owner), memberID, reserved.InFlight)
 	s.p.reportOnRelease(member, reserved.Lease)
 	return reserved.Lease, nil
 }
 
 // reportOnRelease records the count that the owner received for this lease, and sends the new count
-// to the place's owner when the lease is released.
+// to the member's owner when the lease is released.
 func (p *Picker) reportOnRelease(member pool.Member, lease *pool.Lease) {
 	p.recordReport(member)
 	lease.OnRelease(func(held int) {
 		// The owner may have changed since the lease was taken.
-		member.Owner = p.pools.Owner(member.Place)
+		member.Owner = p.pools.Owner(member.MemberID)
 		p.recordReport(member)
-		p.agent.ReportInFlight(p.owner(member.Owner), member.Place, held)
+		p.agent.ReportInFlight(p.owner(member.Owner), member.MemberID, held)
 	})
 }
 
 func (p *Picker) recordReport(member pool.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reports[member.Place] = report{owner: member.Owner, sentMs: p.now()}
+	p.reports[member.MemberID] = report{owner: member.Owner, sentMs: p.now()}
 }
 
 // Refresh reports this box's requests in flight to the owners: to a new owner immediately, to the
@@ -170,13 +170,13 @@
 	now := p.now()
 	for _, inUse := range p.pools.InUse() {
 		p.mu.Lock()
-		last := p.reports[inUse.Member.Place]
+		last := p.reports[inUse.Member.MemberID]
 		p.mu.Unlock()
 		if last.owner == inUse.Member.Owner && now-last.sentMs < refreshIntervalMs {
 			continue
 		}
 		p.recordReport(inUse.Member)
-		p.agent.ReportInFlight(p.owner(inUse.Member.Owner), inUse.Member.Place, inUse.InFlight)
+		p.agent.ReportInFlight(p.owner(inUse.Member.Owner), inUse.Member.MemberID, inUse.InFlight)
 	}
 	p.evictOldReports(now)
 }
@@ -184,9 +184,9 @@
 func (p *Picker) evictOldReports(now clock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for place, last := range p.reports {
+	for memberID, last := range p.reports {
 		if now-last.sentMs > 2*refreshIntervalMs {
-			delete(p.reports, place)
+			delete(p.reports, memberID)
 		}
 	}
 }
--- a/internal/pipe/authorise/authorise.go
+++ b/internal/pipe/authorise/authorise.go
@@ -1,5 +1,6 @@
 // Package authorise is the pipeline step that resolves the API key of an opaque request to an
-// organisation. It rejects keys while the routing state is too old to rule out that they were revoked.
+// organisation. It rejects keys while the routing state is too old to rule out that they were
+// revoked.
 package authorise
 
 import (
--- a/internal/pipe/forward/send.go
+++ b/internal/pipe/forward/send.go
@@ -18,7 +18,8 @@
 )
 
 // maxResponseBytes limits the size of a response that is not streamed. Such a response is buffered
-// completely before any of it is sent, so that the caller never gets a truncated response as complete.
+// completely before any of it is sent, so that the caller never gets a truncated response as
+// complete.
 const maxResponseBytes = 16 << 20
 
 // send makes one attempt. It returns nil if the caller has the complete response.
--- a/internal/pipe/route/route.go
+++ b/internal/pipe/route/route.go
@@ -58,7 +58,8 @@
 func PoolSettings(settings config.Route) (pool.Settings, error) {
 	policyName := settings.Policy
 	if policyName == route.PolicyGrants {
-		// The picker falls back to this policy without grants, and services other than engines need it.
+		// The picker falls back to this policy without grants, and services other than engines need
+		// it.
 		policyName = route.PolicyRendezvousBound
 	}
 	policy, err := route.PolicyByName(policyName)
--- a/internal/pipe/settle/settle.go
+++ b/internal/pipe/settle/settle.go
@@ -1,5 +1,5 @@
-// Package settle is the last step of every request. It releases the resources of the request,
-// counts the outcome and writes the access log line.
+// Package settle is the last step of every request. It releases the resources of the
+// request, counts the outcome and writes the access log line.
 package settle
 
 import (
--- a/internal/pool/lease.go
+++ b/internal/pool/lease.go
@@ -12,15 +12,15 @@
 type Lease struct {
 	// Row is the upstream's row of the routing table at the time of the lease.
 	Row *table.Upstream
-	// AddPeerHeaders is set if the upstream is a box of another failure domain. It adds the headers that the
-	// listener for peers requires.
+	// AddPeerHeaders is set if the upstream is a box of another failure domain. It adds the headers
+	// that the listener for peers requires.
 	AddPeerHeaders func(header http.Header)
 	// Scheme is http, or https for a box whose listener for peers uses TLS.
 	Scheme string
 
 	// onRelease is called after the release with the number of requests that this box still has
 	// on the upstream.
-	onRelease func(held int)
+	onRelease func(inFlight int)
 	manager   *Manager
 	onResult  func(failed bool)
 	poolName  string
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -13,13 +13,13 @@
 
 // Member is an upstream in a pool, with the box that owns it, which counts the requests on it.
 type Member struct {
-	Name  string
-	Place grant.Place
-	// Owner is the name of the box that owns the place.
+	Name     string
+	MemberID grant.MemberID
+	// Owner is the name of the box that owns the member.
 	Owner string
 }
 
-// entries returns the members of a pool with the IDs of their places on the wire and their owners.
+// entries returns the members of a pool with the IDs that they have on the wire and their owners.
 // All boxes that see the same live boxes select the same owners.
 func (m *Manager) entries(p *pool) []Member {
 	hashes := make([]uint64, len(m.fleet.Boxes))
@@ -29,11 +29,11 @@
 	entries := make([]Member, len(p.members))
 	for i, u := range p.members {
 		hash := route.HashName(p.name + "/" + u.row.Name)
-		entries[i] = Member{Name: u.row.Name, Place: grant.Place(hash)}
+		entries[i] = Member{Name: u.row.Name, MemberID: grant.MemberID(hash)}
 		if owner := route.First(route.Key(hash), hashes); owner >= 0 {
 			entries[i].Owner = m.fleet.Boxes[owner]
 		}
-		m.places[entries[i].Place] = place{pool: p, position: i}
+		m.poolPositions[entries[i].MemberID] = poolPosition{pool: p, position: i}
 	}
 	return entries
 }
@@ -96,8 +96,8 @@
 	InFlight int
 	// Total is the number of requests that this box has on the whole pool.
 	Total int
-	// WithinLocalBound reports whether this lease keeps the upstream within this box's share of the load
-	// bound.
+	// WithinLocalBound reports whether this lease keeps the upstream within this box's share of the
+	// load bound.
 	WithinLocalBound bool
 }
 
@@ -123,13 +123,13 @@
 
 // OnRelease sets a function that is called when the lease is released, with the number of
 // requests that this box still has on the upstream.
-func (l *Lease) OnRelease(afterRelease func(held int)) { l.onRelease = afterRelease }
+func (l *Lease) OnRelease(onRelease func(inFlight int)) { l.onRelease = onRelease }
 
-// MemberState returns the state of a place in its pool, as its owner needs it.
-func (m *Manager) MemberState(placeID grant.Place) (grant.MemberState, bool) {
+// MemberState returns the state of a member of a pool, as its owner needs it.
+func (m *Manager) MemberState(memberID grant.MemberID) (grant.MemberState, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	found, known := m.places[placeID]
+	found, known := m.poolPositions[memberID]
 	if !known {
 		return grant.MemberState{}, false
 	}
@@ -158,11 +158,11 @@
 	})
 }
 
-// Owner returns the name of the box that currently owns a place, or "" if there is none.
-func (m *Manager) Owner(placeID grant.Place) string {
+// Owner returns the name of the box that currently owns a member, or "" if there is none.
+func (m *Manager) Owner(memberID grant.MemberID) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if found, known := m.places[placeID]; known {
+	if found, known := m.poolPositions[memberID]; known {
 		return found.pool.entries[found.position].Owner
 	}
 	return ""
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -50,27 +50,27 @@
 
 // upstream is the state of an upstream. It is shared by all pools that contain the upstream.
 type upstream struct {
-	row      *table.Upstream
-	joinedMs clock.Millis
-	health   health.Health
-	used     int
-	reported int
-	places   []place
+	row           *table.Upstream
+	joinedMs      clock.Millis
+	health        health.Health
+	used          int
+	reported      int
+	poolPositions []poolPosition
 	// draining and models are the upstream's last report about itself. models is nil before the first
 	// report.
 	draining bool
 	models   []string
 }
 
-// place is a position in the view of a pool.
-type place struct {
+// poolPosition is a position in the view of a pool.
+type poolPosition struct {
 	pool     *pool
 	position int
 }
 
 // closed reports whether the upstream accepts no new work of the pool, because its own report or its
 // row says that it is draining, or it no longer has the pool's model loaded.
-func (p place) closed() bool {
+func (p poolPosition) closed() bool {
 	u := p.pool.members[p.position]
 	if u.draining || u.row.Draining {
 		return true
@@ -95,14 +95,14 @@
 	box      string
 	now      func() clock.Millis
 
-	mu        sync.Mutex
-	upstreams map[string]*upstream
-	pools     map[string]*pool
-	places    map[grant.Place]place
-	slots     limit.Slots
-	fleet     Fleet
-	state     *table.State
-	started   bool
+	mu            sync.Mutex
+	upstreams     map[string]*upstream
+	pools         map[string]*pool
+	poolPositions map[grant.MemberID]poolPosition
+	slots         limit.Slots
+	fleet         Fleet
+	state         *table.State
+	started       bool
 }
 
 // New returns a manager without upstreams.
@@ -142,7 +142,7 @@
 	}
 	members := m.collect(now)
 	m.pools = map[string]*pool{}
-	m.places = map[grant.Place]place{}
+	m.poolPositions = map[grant.MemberID]poolPosition{}
 	for name, list := range members {
 		m.pools[name] = m.newPool(name, list, counts[name])
 	}
@@ -166,7 +166,7 @@
 			continue
 		}
 		u := m.upsert(row, now)
-		u.places = nil
+		u.poolPositions = nil
 		current[row.Name] = u
 		for _, target := range row.Serves {
 			name := Name(row.Kind, target)
@@ -201,7 +201,7 @@
 	members := make([]route.Member, len(list))
 	for i, u := range list {
 		members[i] = m.member(u, counts[u.row.Name])
-		u.places = append(u.places, place{pool: p, position: i})
+		u.poolPositions = append(u.poolPositions, poolPosition{pool: p, position: i})
 	}
 	for name, count := range counts {
 		if count > 0 {
@@ -263,8 +263,8 @@
 
 func (u *upstream) addUsed(change int) {
 	u.used += change
-	for _, place := range u.places {
-		place.pool.view.Members[place.position].Used = u.used
+	for _, poolPosition := range u.poolPositions {
+		poolPosition.pool.view.Members[poolPosition.position].Used = u.used
 	}
 }
 
@@ -300,9 +300,9 @@
 func (m *Manager) refresh(u *upstream, now clock.Millis) {
 	weight := route.SlowStartWeight(u.row.Weight, u.joinedMs, now, m.settings.SlowStartMs)
 	ejected := u.health.Ejected(now)
-	for _, place := range u.places {
-		place.pool.view.SetWeight(place.position, weight)
-		place.pool.view.SetEjected(place.position, ejected, m.settings.PanicPercent)
+	for _, poolPosition := range u.poolPositions {
+		poolPosition.pool.view.SetWeight(poolPosition.position, weight)
+		poolPosition.pool.view.SetEjected(poolPosition.position, ejected, m.settings.PanicPercent)
 	}
 }
 
@@ -315,8 +315,8 @@
 		return
 	}
 	u.reported = inFlight
-	for _, place := range u.places {
-		place.pool.view.Members[place.position].Reported = inFlight
+	for _, poolPosition := range u.poolPositions {
+		poolPosition.pool.view.Members[poolPosition.position].Reported = inFlight
 	}
 }
 
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// newBurstBudget returns a budget of 10 percent with a reserve of 2 and a burst allowance of 6
-// percent of the first attempts of the last 10 s, and the budget's clock.
+// newBurstBudget returns a budget of 10 percent with a reserve of 2 and a burst allowance
+// of 6 percent of the first attempts of the last 10 s, and the budget's clock.
 func newBurstBudget() (b *Budget, now *clock.Millis) {
 	now = new(clock.Millis)
 	return NewBudget(10, WithReserve(2), WithBurst(6, 10*clock.Second, func() clock.Millis { return *now })), now
--- a/internal/routebench/grants.go
+++ b/internal/routebench/grants.go
@@ -26,10 +26,10 @@
 // ownerOf returns the box that owns an engine.
 func (r *run) ownerOf(position int) int { return position % r.scenario.Boxes }
 
-// placeOf returns the place of the engine at a position. Place 0 means no place.
-func placeOf(position int) grant.Place { return grant.Place(position + 1) }
+// memberIDOf returns the member ID of the engine at a position. 0 means no member.
+func memberIDOf(position int) grant.MemberID { return grant.MemberID(position + 1) }
 
-func positionOf(place grant.Place) int { return int(place) - 1 }
+func positionOf(memberID grant.MemberID) int { return int(memberID) - 1 }
 
 func sessionOf(s *session) grant.Session { return grant.Session(s.key) }
 
@@ -44,31 +44,31 @@
 			break
 		}
 		if search.HandleReply(question, r.askOwner(box, question, s)) {
-			r.notifyOwner(search, question.Place, s)
-			return positionOf(question.Place)
+			r.notifyOwner(search, question.MemberID, s)
+			return positionOf(question.MemberID)
 		}
 	}
-	place, found := search.LeastLoaded()
+	memberID, found := search.LeastLoaded()
 	if !found {
 		return none
 	}
 	r.owners.forced++
-	return positionOf(place)
+	return positionOf(memberID)
 }
 
 // rankedChoices is the number of ranked engines that a box considers for a grant.
 const rankedChoices = 6
 
-// ranked returns the first choice of a session and the usable places in the order of their rank.
-func (r *run) ranked(box int, s *session) (first grant.Place, open []grant.Place) {
+// ranked returns the first choice of a session and the usable members in the order of their rank.
+func (r *run) ranked(box int, s *session) (first grant.MemberID, open []grant.MemberID) {
 	positions := [rankedChoices]int{}
 	v := r.views[box]
 	for i, position := range v.Ranked(s.key, positions[:0]) {
 		if i == 0 {
-			first = placeOf(position)
+			first = memberIDOf(position)
 		}
 		if v.Usable(position, route.Tried{}) {
-			open = append(open, placeOf(position))
+			open = append(open, memberIDOf(position))
 		}
 	}
 	return first, open
@@ -76,11 +76,11 @@
 
 // askOwner sends a question of a box to the owner of an engine and returns the owner's reply.
 func (r *run) askOwner(box int, q grant.Question, s *session) grant.Reply {
-	position := positionOf(q.Place)
+	position := positionOf(q.MemberID)
 	owner := r.ownerOf(position)
 	r.owners.questions++
 	if q.Lookup {
-		if hint, found := r.owners.directories[owner].Find(sessionOf(s)); found && hint != q.Place {
+		if hint, found := r.owners.directories[owner].Find(sessionOf(s)); found && hint != q.MemberID {
 			return grant.Reply{Hint: hint}
 		}
 	}
@@ -92,21 +92,21 @@
 		WeightFraction: v.WeightFraction(position), Boxes: r.scenario.Boxes, BoundPercent: BoundPercent, Slots: engineSlots,
 	}
 	granted, over := r.owners.ledgers[owner].Ask(grant.Ask{
-		Place: q.Place, Box: grant.Box(box + 1), InFlight: v.Members[position].InFlight + 1, Total: v.Total() + 1,
+		MemberID: q.MemberID, Box: grant.Box(box + 1), InFlight: v.Members[position].InFlight + 1, Total: v.Total() + 1,
 		BelowMean: q.BelowMean,
 	}, standing, r.now)
 	return grant.Reply{Granted: granted, Excess: over}
 }
 
 // notifyOwner informs the owner of the session's first choice where the session was placed, if it doesn't know yet.
-func (r *run) notifyOwner(search *grant.Search, place grant.Place, s *session) {
+func (r *run) notifyOwner(search *grant.Search, memberID grant.MemberID, s *session) {
 	directory := r.owners.directories[r.ownerOf(positionOf(search.First()))]
 	switch {
-	case place == search.First():
+	case memberID == search.First():
 		directory.Remove(sessionOf(s))
-	case search.MustNotify(place):
+	case search.MustNotify(memberID):
 		r.owners.placementUpdates++
-		directory.Set(sessionOf(s), place)
+		directory.Set(sessionOf(s), memberID)
 	}
 }
 
@@ -116,5 +116,5 @@
 		return
 	}
 	inFlight := r.views[box].Members[position].InFlight
-	r.owners.ledgers[r.ownerOf(position)].SetInFlight(placeOf(position), grant.Box(box+1), inFlight, r.now)
+	r.owners.ledgers[r.ownerOf(position)].SetInFlight(memberIDOf(position), grant.Box(box+1), inFlight, r.now)
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -63,7 +63,10 @@
 	} {
 		begin := func(f *fleet) (func(*fleet) error, error) {
 			f.store.SetFault(kind)
-			return withDisturbance(f, allBoxes, func(f *fleet) error { f.store.SetFault(standin.StoreHealthy); return nil }, nil)
+			return withDisturbance(f, allBoxes, func(f *fleet) error {
+				f.store.SetFault(standin.StoreHealthy)
+				return nil
+			}, nil)
 		}
 		list = append(list, fault{name: "store " + string(kind), fleetWide: true, begin: begin})
 	}
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -10,8 +10,8 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// successfulRequest returns a history that holds only the key of a successful request, and the
-// outcome and the run of that request, which are still to be recorded.
+// successfulRequest returns a history that holds only the key of a successful request,
+// and the outcome and the run of that request, which are still to be recorded.
 func successfulRequest(kind string) (*history, *standin.Outcome, *standin.Run) {
 	h := newHistory()
 	h.recordKey("k", "t")
--- a/internal/testlib/network.go
+++ b/internal/testlib/network.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// SetBlackhole silently drops traffic in the directions for which the function returns true: writes appear to succeed, and
-// datagrams are dropped. Connections don't open if either direction is dropped.
+// SetBlackhole silently drops traffic in the directions for which the function returns true: writes appear to succeed,
+// and datagrams are dropped. Connections don't open if either direction is dropped.
 func (n *Network) SetBlackhole(blackholed func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -244,8 +244,8 @@
 	Unresponsive
 )
 
-// ProbeLiveness determines whether the upstream's process is running. If a connection opens, it is kept
-// for the next request. No connection is opened while a usable idle one exists.
+// ProbeLiveness determines whether the upstream's process is running. If a connection opens, it is
+// kept for the next request. No connection is opened while a usable idle one exists.
 func (c *Client) ProbeLiveness(ctx context.Context) Liveness {
 	if cn := c.popIdle(); cn != nil {
 		c.putUnused(cn)
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -23,8 +23,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// BeforeSend is called after a connection was obtained and right before the first byte is written.
-	// If it returns an error, the request is not sent. It may be nil.
+	// BeforeSend is called after a connection was obtained and right before the first byte is
+	// written. If it returns an error, the request is not sent. It may be nil.
 	BeforeSend func() error
 	// Matches reports whether a response with the given header belongs to this request.
 	Matches func(header http.Header) bool
@@ -96,9 +96,9 @@
 	return nil
 }
 
-// sendError classifies a write error. Only a write of zero bytes proves that nothing was sent. After a
-// partial write the error wraps ErrBroken, because the upstream may have run the request or even
-// responded before it closed the connection.
+// sendError classifies a write error. Only a write of zero bytes proves that nothing was sent.
+// After a partial write the error wraps ErrBroken, because the upstream may have run the request or
+// even responded before it closed the connection.
 func (rt *roundTrip) sendError(n int, err error) error {
 	switch {
 	case err == nil:
