--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -12,7 +12,7 @@
 	EditsPerDay                float64
 	RestartsPerDay             float64
 	AsksPerRequest             float64
-	NewsPerRequest             float64
+	PlacementsPerRequest       float64
 	NonIdempotentFraction      float64
 	ClaimWindowSeconds         float64
 	FractionOutsideFirstChoice float64
@@ -33,7 +33,7 @@
 	return Target{
 		Boxes: 2500, Domains: 28, Engines: 10_000, RequestsPerSecond: 59_000,
 		Sessions: 22_000_000, Organisations: 37_000, EditsPerDay: 14_000, RestartsPerDay: 3500,
-		AsksPerRequest: 2.0, NewsPerRequest: 0.15, NonIdempotentFraction: 0.002, ClaimWindowSeconds: 3600,
+		AsksPerRequest: 2.0, PlacementsPerRequest: 0.15, NonIdempotentFraction: 0.002, ClaimWindowSeconds: 3600,
 		FractionOutsideFirstChoice: 0.6, EngineReportsPerSecond: 0.5, ListPollsPerSecond: 0.6,
 		TableReadsPerSecondIdle: 0.1,
 		SumsMessagesPerDomain:   2,
@@ -126,8 +126,8 @@
 	requests := b.t.RequestsPerSecond / b.t.Boxes
 	sizes := grant.WireSizes()
 	perRequest := b.t.AsksPerRequest*float64(sizes.Ask+sizes.Reply) + float64(sizes.InFlight) +
-		b.t.NewsPerRequest*float64(sizes.Placement)
-	messages := 2 * requests * (2*b.t.AsksPerRequest + 1 + b.t.NewsPerRequest)
+		b.t.PlacementsPerRequest*float64(sizes.Placement)
+	messages := 2 * requests * (2*b.t.AsksPerRequest + 1 + b.t.PlacementsPerRequest)
 	sessions := b.t.Sessions / b.t.Boxes * b.t.FractionOutsideFirstChoice
 	return Role{
 		Name: "grants and remembered sessions", Package: "internal/grant, internal/picker",
--- a/internal/cmd/loadcmd/loadcmd.go
+++ b/internal/cmd/loadcmd/loadcmd.go
@@ -34,11 +34,11 @@
 		Name:  "demo",
 		Usage: "start a small fleet in this process, inject faults, and check the fleet's guarantees",
 		Action: func(ctx context.Context, _ *cli.Command) error {
-			breaches, err := load.Demo(ctx, out)
+			violations, err := load.Demo(ctx, out)
 			if err != nil {
 				return err
 			}
-			if len(breaches) > 0 {
+			if len(violations) > 0 {
 				return ErrGuaranteeViolated
 			}
 			return nil
--- a/internal/cmd/standincmd/standincmd.go
+++ b/internal/cmd/standincmd/standincmd.go
@@ -74,10 +74,10 @@
 }
 
 func newEngine(c *cli.Command) http.Handler {
-	speed := standin.DefaultTiming()
+	speed := standin.DefaultPerformance()
 	speed.TokenMs = clock.Millis(c.Int("token-ms"))
 	speed.Slots = c.Int("slots")
-	options := []standin.EngineOption{standin.WithTiming(speed)}
+	options := []standin.EngineOption{standin.WithPerformance(speed)}
 	if c.Bool("check-tokens") {
 		options = append(options, standin.WithTokenChecks())
 	}
--- a/internal/gateway/freshness_test.go
+++ b/internal/gateway/freshness_test.go
@@ -50,7 +50,7 @@
 			assertRefused(t, b, call{path: "/safe/", key: "newer"}, http.StatusUnauthorized)
 			assertRefused(t, b, call{path: "/newer/", key: key}, http.StatusNotFound)
 			f.store.setUnavailable("box-1", true)
-			advance(f.t, 2*defaultInForceMs*time.Millisecond)
+			advance(f.t, 2*defaultMaxPropagationMs*time.Millisecond)
 			assertRefused(t, b, call{path: "/safe/", key: "newer"}, http.StatusServiceUnavailable)
 			assertRefused(t, b, call{path: "/newer/", key: key}, http.StatusServiceUnavailable)
 		})
@@ -210,7 +210,7 @@
 		f.store.setUnavailable(source, true)
 		f.network.SetBlackhole(func(from, to string) bool { return from == source && strings.HasPrefix(to, "box-") })
 		f.setDraining("u1")
-		advance(t, defaultLeaveMs*time.Millisecond)
+		advance(t, defaultMaxDrainNoticeMs*time.Millisecond)
 		for _, b := range boxes {
 			if b.settings.Box != source {
 				assertDraining(t, b)
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -16,10 +16,10 @@
 
 // Defaults of the settings, and limits of the listeners.
 const (
-	// defaultInForceMs is about the time within which operators expect a new version to take effect.
-	defaultInForceMs = 2000
-	// defaultLeaveMs is about the shortest delay that a caller notices.
-	defaultLeaveMs = 2000
+	// defaultMaxPropagationMs is about the time within which operators expect a new version to take effect.
+	defaultMaxPropagationMs = 2000
+	// defaultMaxDrainNoticeMs is about the shortest delay that a caller notices.
+	defaultMaxDrainNoticeMs = 2000
 	// defaultLoadCap is a common limit on an upstream's load, as a multiple of the mean load.
 	defaultLoadCap = 2
 	// boundShareOfCap is the share of the cap at which a box stops sending to an upstream. The rest covers load that
@@ -59,8 +59,8 @@
 
 // defaults returns the settings with defaults applied.
 func defaults(g config.Gateway) config.Gateway {
-	config.SetDefault(&g.Freshness.MaxPropagationMs, defaultInForceMs)
-	config.SetDefault(&g.Freshness.MaxDrainNoticeMs, defaultLeaveMs)
+	config.SetDefault(&g.Freshness.MaxPropagationMs, defaultMaxPropagationMs)
+	config.SetDefault(&g.Freshness.MaxDrainNoticeMs, defaultMaxDrainNoticeMs)
 	config.SetDefault(&g.Balance.LoadCap, defaultLoadCap)
 	config.SetDefault(&g.Balance.BoundPercent, max(percent+1, int(g.Balance.LoadCap*percent*boundShareOfCap)))
 	config.SetDefault(&g.Balance.EjectBaseMs, defaultEjectBaseMs)
--- a/internal/gateway/timing_test.go
+++ b/internal/gateway/timing_test.go
@@ -14,9 +14,9 @@
 )
 
 // withBounds returns the default settings with bounds on freshness.
-func withBounds(leaveMs, inForceMs, maxAgeMs int64, graceS float64) config.Gateway {
+func withBounds(maxDrainNoticeMs, maxPropagationMs, maxAgeMs int64, graceS float64) config.Gateway {
 	g := config.Gateway{}
-	g.Freshness = config.Freshness{MaxDrainNoticeMs: leaveMs, MaxPropagationMs: inForceMs, MaxAgeMs: maxAgeMs}
+	g.Freshness = config.Freshness{MaxDrainNoticeMs: maxDrainNoticeMs, MaxPropagationMs: maxPropagationMs, MaxAgeMs: maxAgeMs}
 	g.Shutdown.GraceS = graceS
 	return defaults(g)
 }
@@ -57,9 +57,9 @@
 // disappears right after the store was unavailable, when entries of running upstreams may be missing, too. In the other
 // it starts draining while the store does not respond to the box that reads it for the failure domain.
 func TestDrainBounds(t *testing.T) {
-	for _, leaveMs := range []int64{1000, 2000} {
-		bound := func(g *config.Gateway) { g.Freshness.MaxDrainNoticeMs, g.Freshness.MaxAgeMs = leaveMs, 0 }
-		t.Run(fmt.Sprintf("an entry disappears after the store was unavailable, %d ms", leaveMs), func(t *testing.T) {
+	for _, maxDrainNoticeMs := range []int64{1000, 2000} {
+		bound := func(g *config.Gateway) { g.Freshness.MaxDrainNoticeMs, g.Freshness.MaxAgeMs = maxDrainNoticeMs, 0 }
+		t.Run(fmt.Sprintf("an entry disappears after the store was unavailable, %d ms", maxDrainNoticeMs), func(t *testing.T) {
 			runWithFleet(t, func(f *fleet) {
 				f.upstream("u1", respondWith("one"))
 				f.upstream("u2", respondWith("two"))
@@ -69,7 +69,7 @@
 				advance(f.t, 3*time.Second)
 				f.store.setUnavailable("box-1", false)
 				f.store.remove("u1")
-				advance(f.t, clock.Millis(leaveMs).Duration())
+				advance(f.t, clock.Millis(maxDrainNoticeMs).Duration())
 				for range 20 {
 					_, body, err := b.get("/safe/")
 					require.NoError(f.t, err)
@@ -77,7 +77,7 @@
 				}
 			})
 		})
-		t.Run(fmt.Sprintf("the store does not respond to the reading box, %d ms", leaveMs), func(t *testing.T) {
+		t.Run(fmt.Sprintf("the store does not respond to the reading box, %d ms", maxDrainNoticeMs), func(t *testing.T) {
 			runWithFleet(t, func(f *fleet) {
 				f.upstream("u1", respondWith("done"))
 				first := f.box(1, bound)
@@ -88,7 +88,7 @@
 				advance(f.t, 3*time.Second)
 				f.store.setUnresponsive(storeReaderOf(boxes).settings.Box, true)
 				f.setDraining("u1")
-				advance(f.t, clock.Millis(leaveMs).Duration())
+				advance(f.t, clock.Millis(maxDrainNoticeMs).Duration())
 				for _, b := range boxes {
 					assertStatus(f.t, b, "/safe/", http.StatusServiceUnavailable)
 				}
--- a/internal/load/demo.go
+++ b/internal/load/demo.go
@@ -61,8 +61,8 @@
 }
 
 func demoPlan() localfleet.Config {
-	speed := standin.DefaultTiming()
-	speed.TokenMs = 10
+	performance := standin.DefaultPerformance()
+	performance.TokenMs = 10
 	return localfleet.Config{
 		Domains: []string{"alfama", "belem"}, BoxesPerDomain: 2, EnginesPerDomain: 3, ServersPerDomain: 1,
 		Organisations: []localfleet.Organisation{
@@ -70,7 +70,7 @@
 			{Name: "choir"},
 			{Name: "band"},
 		},
-		Speed: speed,
+		Performance: performance,
 	}
 }
 
--- a/internal/load/latency.go
+++ b/internal/load/latency.go
@@ -56,11 +56,11 @@
 		l.caller = Caller{Client: l.dest.client, Clock: clock.New()}
 		return l.measure(ctx, perSecond), nil
 	}
-	speed := standin.DefaultTiming()
-	speed.TokenMs, speed.PrefillTokensPerMs, speed.Slots = 0, 1_000_000, 100_000
+	performance := standin.DefaultPerformance()
+	performance.TokenMs, performance.PrefillTokensPerMs, performance.Slots = 0, 1_000_000, 100_000
 	fleet, err := localfleet.Start(ctx, localfleet.Config{
 		Domains: []string{"north"}, BoxesPerDomain: 1, EnginesPerDomain: 4,
-		Organisations: []localfleet.Organisation{{Name: "choir"}}, Speed: speed,
+		Organisations: []localfleet.Organisation{{Name: "choir"}}, Performance: performance,
 	})
 	if err != nil {
 		return LatencyResult{}, err
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -115,7 +115,7 @@
 	fleet, err := localfleet.Start(ctx, localfleet.Config{
 		Domains: plan.Deployment.Domains, BoxesPerDomain: plan.Deployment.BoxesPerDomain,
 		EnginesPerDomain: plan.Deployment.EnginesPerDomain, ServersPerDomain: plan.Deployment.ServersPerDomain,
-		Organisations: plan.Deployment.Organisations, Speed: runSpeed(),
+		Organisations: plan.Deployment.Organisations, Performance: runPerformance(),
 		Settings: func(s *config.Router) { s.Route.Policy = plan.Policy },
 	})
 	if err != nil {
@@ -127,8 +127,8 @@
 	return result, fleet.Stop()
 }
 
-func runSpeed() standin.EngineTiming {
-	speed := standin.DefaultTiming()
+func runPerformance() standin.EnginePerformance {
+	speed := standin.DefaultPerformance()
 	speed.TokenMs = 32
 	speed.PrefillTokensPerMs = 4
 	speed.CacheTokens = 30_000
@@ -326,12 +326,12 @@
 
 // churn makes one engine after the other report that it is leaving, and then rejoin, across the failure domains.
 func (r *runner) churn(ctx context.Context, stop <-chan struct{}) {
-	const leaveMs = 4 * clock.Second
+	const absenceMs = 4 * clock.Second
 	engines := r.dest.engines()
 	for i := 0; ; i++ {
 		e := engines[i*7%len(engines)]
 		e.SetDraining(true)
-		_ = r.caller.Clock.Sleep(ctx, leaveMs)
+		_ = r.caller.Clock.Sleep(ctx, absenceMs)
 		e.SetDraining(false)
 		select {
 		case <-stop:
@@ -356,14 +356,14 @@
 		result.GrantBytes = max(result.GrantBytes, float64(spent.grants)/seconds)
 	}
 	result.Violations = append(result.Chats.Violations(), result.ServiceCalls.Violations()...)
-	doubled := 0
+	duplicated := 0
 	for _, key := range r.keys {
 		if r.dest.fleet != nil && r.dest.fleet.Ledger.Runs(key) > 1 {
-			doubled++
+			duplicated++
 		}
 	}
-	if doubled > 0 {
-		violation := Violation{Description: "a non-idempotent call ran more than once", Count: doubled}
+	if duplicated > 0 {
+		violation := Violation{Description: "a non-idempotent call ran more than once", Count: duplicated}
 		result.Violations = append(result.Violations, violation)
 	}
 	return result
--- a/internal/localfleet/control_test.go
+++ b/internal/localfleet/control_test.go
@@ -187,7 +187,7 @@
 	})
 }
 
-func TestCutOffDomain(t *testing.T) {
+func TestPartitionedDomain(t *testing.T) {
 	t.Run("keeps serving chats with its own engines", func(t *testing.T) {
 		run(t, func(tf *testFleet) {
 			tf.wait(5000)
--- a/internal/localfleet/edges_test.go
+++ b/internal/localfleet/edges_test.go
@@ -218,6 +218,6 @@
 			assert.Equal(tf.t, http.StatusServiceUnavailable, result.Status)
 			assert.EqualValues(tf.t, "not-run", result.Outcome)
 			assert.NotEmpty(tf.t, result.RetryAfter)
-		}, func(p *localfleet.Config) { p.Speed.Slots = 2 })
+		}, func(p *localfleet.Config) { p.Performance.Slots = 2 })
 	})
 }
--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -43,7 +43,7 @@
 	EnginesPerDomain int
 	ServersPerDomain int
 	Organisations    []Organisation
-	Speed            standin.EngineTiming
+	Performance      standin.EnginePerformance
 	// Settings, if set, modifies the settings of each box before it starts.
 	Settings func(settings *config.Router)
 	// BoxListDelayMs is the time by which the platform's box list lags behind.
@@ -253,7 +253,8 @@
 }
 
 func (f *Fleet) startEngine(domain, name string) error {
-	fake := standin.NewEngine(name, []string{Model}, standin.WithEngineClock(f.clock), standin.WithTiming(f.plan.Speed))
+	fake := standin.NewEngine(
+		name, []string{Model}, standin.WithEngineClock(f.clock), standin.WithPerformance(f.plan.Performance))
 	httpServer, address, err := f.serve(name, fake)
 	if err != nil {
 		return err
@@ -294,7 +295,7 @@
 		for column, value := range upstreamColumns(table.KindEngine, e.Domain, e.Address, Model) {
 			set(table.Upstreams, e.Name, column, value)
 		}
-		set(table.Upstreams, e.Name, "slots", fmt.Sprint(f.plan.Speed.Slots))
+		set(table.Upstreams, e.Name, "slots", fmt.Sprint(f.plan.Performance.Slots))
 	}
 	for _, s := range f.services {
 		for column, value := range upstreamColumns(table.KindService, s.Domain, s.Address, ServiceName) {
--- a/internal/localfleet/fleet_test.go
+++ b/internal/localfleet/fleet_test.go
@@ -57,7 +57,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		plan := localfleet.Config{
 			Domains: []string{"north"}, BoxesPerDomain: 2, EnginesPerDomain: 2, ServersPerDomain: 1,
-			Organisations: []localfleet.Organisation{{Name: "choir"}}, Speed: standin.DefaultTiming(),
+			Organisations: []localfleet.Organisation{{Name: "choir"}}, Performance: standin.DefaultPerformance(),
 		}
 		for _, option := range options {
 			option(&plan)
@@ -231,7 +231,7 @@
 	})
 }
 
-func TestFilings(t *testing.T) {
+func TestServiceCalls(t *testing.T) {
 	t.Run("with the same key at all boxes concurrently run once", func(t *testing.T) {
 		run(t, func(tf *testFleet) {
 			group := sync.WaitGroup{}
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -76,8 +76,8 @@
 	Cells []table.Cell `json:"cells"`
 }
 
-// NewTableReply returns the whole table of a state.
-func NewTableReply(state *table.State) TableResponse {
+// NewTableResponse returns the whole table of a state.
+func NewTableResponse(state *table.State) TableResponse {
 	reply := TableResponse{Offset: state.Offset(), Sheets: []Sheet{}}
 	for _, name := range table.SheetNames() {
 		reply.Sheets = append(reply.Sheets, newSheet(state, name, state.RowNames(name)))
@@ -101,7 +101,7 @@
 	state, query := h.deps.Store.State(), r.URL.Query()
 	name := query.Get("sheet")
 	if name == "" {
-		jsonhttp.Write(w, NewTableReply(state))
+		jsonhttp.Write(w, NewTableResponse(state))
 		return
 	}
 	if len(table.Columns(name)) == 0 {
--- a/internal/pipe/forward/forward.go
+++ b/internal/pipe/forward/forward.go
@@ -227,11 +227,11 @@
 
 // Errors of a response.
 var (
-	errCrossed  = errors.New("response belongs to another request")
-	errNotRun   = errors.New("upstream did not run the request")
-	errTooLarge = errors.New("response too large")
-	errNoLength = errors.New("response has no length, so truncation can't be detected")
-	errStatus   = errors.New("upstream returned status")
+	errMismatched = errors.New("response belongs to another request")
+	errNotRun     = errors.New("upstream did not run the request")
+	errTooLarge   = errors.New("response too large")
+	errNoLength   = errors.New("response has no length, so truncation can't be detected")
+	errStatus     = errors.New("upstream returned status")
 )
 
 func statusText(status int) string { return strconv.Itoa(status) }
--- a/internal/pipe/forward/send.go
+++ b/internal/pipe/forward/send.go
@@ -137,7 +137,7 @@
 	echoed := response.Header.Get(engine.HeaderRequestID)
 	if echoed != x.ID && (echoed != "" || x.Kind == exchange.Chat) {
 		p.metrics.MismatchedResponses.Add(1)
-		return &failure{cause: errCrossed, upstreamFault: true}
+		return &failure{cause: errMismatched, upstreamFault: true}
 	}
 	if load, err := strconv.Atoi(response.Header.Get(engine.HeaderInFlight)); err == nil {
 		p.reportLoad(lease.Row.Name, load)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -18,8 +18,8 @@
 	"dooryard.example/dooryard/internal/jsonhttp"
 )
 
-// EngineTiming sets the timing and the capacity of an engine.
-type EngineTiming struct {
+// EnginePerformance is the timing and the capacity of an engine.
+type EnginePerformance struct {
 	// PrefillTokensPerMs is the number of uncached prompt tokens processed per millisecond.
 	PrefillTokensPerMs int
 	// TokenMs is the time between two tokens of an answer.
@@ -59,7 +59,7 @@
 // Engine is a fake model engine.
 type Engine struct {
 	name         string
-	speed        EngineTiming
+	performance  EnginePerformance
 	checksTokens bool
 	clock        clock.Clock
 	tracer       trace.Tracer
@@ -108,8 +108,10 @@
 // WithEngineClock replaces the system clock.
 func WithEngineClock(c clock.Clock) EngineOption { return func(e *Engine) { e.clock = c } }
 
-// WithTiming sets the engine's timing and capacity.
-func WithTiming(speed EngineTiming) EngineOption { return func(e *Engine) { e.speed = speed } }
+// WithPerformance sets the engine's timing and capacity.
+func WithPerformance(performance EnginePerformance) EngineOption {
+	return func(e *Engine) { e.performance = performance }
+}
 
 // WithTokenChecks makes the engine reject orders with stale fencing tokens.
 func WithTokenChecks() EngineOption { return func(e *Engine) { e.checksTokens = true } }
@@ -124,9 +126,9 @@
 	return func(e *Engine) { e.onRun = onRun }
 }
 
-// DefaultTiming returns a timing that is fast enough for tests and the demo.
-func DefaultTiming() EngineTiming {
-	return EngineTiming{
+// DefaultPerformance returns a performance that is sufficient for tests and the demo.
+func DefaultPerformance() EnginePerformance {
+	return EnginePerformance{
 		PrefillTokensPerMs: 20, TokenMs: 5, Slots: 64, CacheTokens: 64_000, ReportLagMs: clock.Second, OrderMs: 200,
 	}
 }
@@ -134,7 +136,7 @@
 // NewEngine returns an engine that serves the given models.
 func NewEngine(name string, models []string, options ...EngineOption) *Engine {
 	e := &Engine{
-		name: name, models: slices.Clone(models), speed: DefaultTiming(), clock: clock.New(),
+		name: name, models: slices.Clone(models), performance: DefaultPerformance(), clock: clock.New(),
 		tracer: noop.NewTracerProvider().Tracer(""), mux: http.NewServeMux(), onRun: func(string) {},
 		streams: map[string]*generation{}, runs: map[string]int{},
 	}
@@ -142,7 +144,7 @@
 	for _, option := range options {
 		option(e)
 	}
-	e.cache = newPrefixCache(e.speed.CacheTokens, func(prefix uint64, stored bool) {
+	e.cache = newPrefixCache(e.performance.CacheTokens, func(prefix uint64, stored bool) {
 		e.events.add(prefix, stored, e.clock.Now())
 	})
 	e.mux.HandleFunc("POST /v1/chat/completions", e.serveChat)
@@ -294,7 +296,7 @@
 // before ctx ended.
 func (e *Engine) acquireSlot(ctx context.Context, priority int) bool {
 	e.mu.Lock()
-	if e.running < e.speed.Slots {
+	if e.running < e.performance.Slots {
 		e.takeSlot()
 		e.mu.Unlock()
 		return true
@@ -357,7 +359,7 @@
 
 func (e *Engine) currentLoad() engine.Load {
 	return engine.Load{
-		InFlight: e.running, Queued: len(e.queue), Slots: e.speed.Slots,
+		InFlight: e.running, Queued: len(e.queue), Slots: e.performance.Slots,
 		Models: slices.Clone(e.models), Draining: e.draining, AtMs: e.clock.Now(),
 	}
 }
@@ -369,11 +371,11 @@
 	shown := e.currentLoad()
 	shown.InFlight, shown.Queued = 0, 0
 	for _, sample := range e.history {
-		if sample.atMs <= e.clock.Now()-e.speed.ReportLagMs {
+		if sample.atMs <= e.clock.Now()-e.performance.ReportLagMs {
 			shown.InFlight, shown.Queued = sample.load.InFlight, sample.load.Queued
 		}
 	}
-	shown.AtMs -= e.speed.ReportLagMs
+	shown.AtMs -= e.performance.ReportLagMs
 	e.mu.Unlock()
 	jsonhttp.Write(w, shown)
 }
@@ -385,7 +387,7 @@
 		return
 	}
 	e.mu.Lock()
-	events := e.events.from(from, e.clock.Now()-e.speed.ReportLagMs)
+	events := e.events.from(from, e.clock.Now()-e.performance.ReportLagMs)
 	e.mu.Unlock()
 	jsonhttp.Write(w, events)
 }
--- a/internal/standin/generation.go
+++ b/internal/standin/generation.go
@@ -82,11 +82,11 @@
 func (e *Engine) run(ctx context.Context, g *generation, tokens []string) {
 	defer e.endGeneration(g)
 	cold := g.usage.PromptTokens - g.usage.Details.CachedTokens
-	if e.clock.Sleep(ctx, clock.Millis(cold/max(1, e.speed.PrefillTokensPerMs))) != nil {
+	if e.clock.Sleep(ctx, clock.Millis(cold/max(1, e.performance.PrefillTokensPerMs))) != nil {
 		return
 	}
 	for i, token := range tokens {
-		if i > 0 && e.clock.Sleep(ctx, e.speed.TokenMs) != nil {
+		if i > 0 && e.clock.Sleep(ctx, e.performance.TokenMs) != nil {
 			return
 		}
 		g.addToken(token)
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -78,7 +78,7 @@
 }
 
 func (e *Engine) executeOrder(order engine.Order) {
-	_ = e.clock.Sleep(e.ctx, e.speed.OrderMs)
+	_ = e.clock.Sleep(e.ctx, e.performance.OrderMs)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders.outstanding = ""
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -51,7 +51,7 @@
 	assert.Contains(t, verdict.Issues[0].Reason, reason)
 }
 
-func TestFold(t *testing.T) {
+func TestApply(t *testing.T) {
 	t.Run("accepts an edit and rebuilds the typed row", func(t *testing.T) {
 		state, verdict := applyEdits(t, newTableWithChoir(t), edit("e", set("choir", "weight", "7", 0)))
 		assert.Equal(t, table.Accepted, verdict.Result)
@@ -149,10 +149,10 @@
 	return drawn
 }
 
-// TestFoldOfRandomHistories checks that every box reaches the same state and
+// TestApplyRandomHistories checks that every box reaches the same state and
 // verdicts, whether it applies the complete log or starts from an encoded state
 // in the middle, and that an edit that is not accepted changes no cell.
-func TestFoldOfRandomHistories(t *testing.T) {
+func TestApplyRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		full, restored := table.New(), table.New()
 		start := rapid.IntRange(0, 20).Draw(t, "start")
--- a/internal/tablefile/tablefile_test.go
+++ b/internal/tablefile/tablefile_test.go
@@ -25,7 +25,7 @@
 		state, verdict = state.Apply(state.Offset(), data)
 		require.Equal(t, table.Accepted, verdict.Result, "%+v", verdict)
 	}
-	return state, Baseline{Table: operators.NewTableReply(state), History: state.History()}
+	return state, Baseline{Table: operators.NewTableResponse(state), History: state.History()}
 }
 
 func change(row, column, value string, basedOn int64) table.Change {
--- a/internal/why/why_test.go
+++ b/internal/why/why_test.go
@@ -26,7 +26,7 @@
 	return out
 }
 
-func TestStory(t *testing.T) {
+func TestRequestLines(t *testing.T) {
 	lines, err := Read(nil, strings.NewReader(log))
 	require.NoError(t, err)
 	t.Run("returns the request's lines and its box's earlier state changes in order", func(t *testing.T) {
