--- a/internal/balance/largefleet_test.go
+++ b/internal/balance/largefleet_test.go
@@ -17,7 +17,7 @@
 
 // These tests guard against overloaded engines when a large fleet starts. Hundreds of boxes receive
 // about five requests a second each and send them to hundreds of engines. In a fleet of that size,
-// boxes don't report their loads to each other.
+// boxes did not report their loads to each other.
 //
 // When this fault occurred, 182 of the 5,267 requests of the first 5 s went to engines above twice the
 // mean plus three, which is more than the permitted 3%. The 99th percentile of the first two seconds
--- a/internal/bounds/bounds.go
+++ b/internal/bounds/bounds.go
@@ -40,7 +40,8 @@
 // Bound is a recorded measurement and the relative change for the worse that is allowed.
 type Bound struct {
 	Value float64 `json:"value"`
-	// Tolerance is the allowed change for the worse, as a fraction of Value.
+	// Tolerance is the allowed change for the worse, as a fraction of Value. Its JSON name is
+	// part of the bounds file.
 	Tolerance float64 `json:"part"`
 	// HigherIsBetter is set for measurements that must not decrease.
 	HigherIsBetter bool `json:"higher_is_better,omitempty"`
@@ -58,7 +59,7 @@
 func Measure() (map[string]float64, error) {
 	values := map[string]float64{
 		"grants: bytes of an ask and its reply": float64(grant.WireSizes().Ask + grant.WireSizes().Reply),
-		"grants: bytes of a hold":               float64(grant.WireSizes().Hold),
+		"grants: bytes of a hold":               float64(grant.WireSizes().InFlight),
 		"claims: bytes of a claim and its end":  float64(capacity.ClaimBytes()),
 		"forward: allocations of an attempt":    forwardAllocations(),
 	}
--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -12,7 +12,7 @@
 	EditsPerDay                float64
 	RestartsPerDay             float64
 	AsksPerRequest             float64
-	NewsPerRequest             float64
+	PlacementsPerRequest       float64
 	NonIdempotentFraction      float64
 	ClaimWindowSeconds         float64
 	FractionOutsideFirstChoice float64
@@ -27,13 +27,13 @@
 	Calls CallBytes
 }
 
-// LetterTarget returns the size that the users require, with the sizes of single calls as measured now. A claim costs
+// RequiredTarget returns the size that the users require, with the sizes of single calls as measured now. A claim costs
 // two calls to the gatherer: one for the claim and one for its settlement.
-func LetterTarget() Target {
+func RequiredTarget() Target {
 	return Target{
 		Boxes: 2500, Domains: 28, Engines: 10_000, RequestsPerSecond: 59_000,
 		Sessions: 22_000_000, Organisations: 37_000, EditsPerDay: 14_000, RestartsPerDay: 3500,
-		AsksPerRequest: 2.0, NewsPerRequest: 0.15, NonIdempotentFraction: 0.002, ClaimWindowSeconds: 3600,
+		AsksPerRequest: 2.0, PlacementsPerRequest: 0.15, NonIdempotentFraction: 0.002, ClaimWindowSeconds: 3600,
 		FractionOutsideFirstChoice: 0.6, EngineReportsPerSecond: 0.5, ListPollsPerSecond: 0.6,
 		TableReadsPerSecondIdle: 0.1,
 		SumsMessagesPerDomain:   2,
@@ -125,9 +125,9 @@
 func (b budget) grants() Role {
 	requests := b.t.RequestsPerSecond / b.t.Boxes
 	sizes := grant.WireSizes()
-	perRequest := b.t.AsksPerRequest*float64(sizes.Ask+sizes.Reply) + float64(sizes.Hold) +
-		b.t.NewsPerRequest*float64(sizes.News)
-	messages := 2 * requests * (2*b.t.AsksPerRequest + 1 + b.t.NewsPerRequest)
+	perRequest := b.t.AsksPerRequest*float64(sizes.Ask+sizes.Reply) + float64(sizes.InFlight) +
+		b.t.PlacementsPerRequest*float64(sizes.Placement)
+	messages := 2 * requests * (2*b.t.AsksPerRequest + 1 + b.t.PlacementsPerRequest)
 	sessions := b.t.Sessions / b.t.Boxes * b.t.FractionOutsideFirstChoice
 	return Role{
 		Name: "grants and remembered sessions", Package: "internal/grant, internal/picker",
@@ -163,11 +163,11 @@
 	restarts := b.t.RestartsPerDay / b.t.Boxes / secondsPerDay
 	const kilo, mega = 1000, 1_000_000
 	state := kilo * b.costAt("snapshot: bytes on the log", b.t.Organisations)
-	fold := b.costAt("table: fold one edit", b.t.Organisations) * b.t.EditsPerDay / secondsPerDay
+	applyCost := b.costAt("table: fold one edit", b.t.Organisations) * b.t.EditsPerDay / secondsPerDay
 	return Role{
 		Name: "table: read, relay, cold start", Package: "internal/tablestore, internal/logstream, internal/snapshot",
 		BytesPerSecond: 2*reads*b.t.Calls.TableRead + 2*restarts*state,
-		CorePercent: perSecondPercent(2*reads, b.call) + perSecondPercent(1, fold) +
+		CorePercent: perSecondPercent(2*reads, b.call) + perSecondPercent(1, applyCost) +
 			perSecondPercent(restarts, kilo*b.costAt("cold start: read a snapshot", b.t.Organisations)),
 		MB: 2*b.costAt("table: memory", b.t.Organisations) + state/mega,
 	}
--- a/internal/cmd/standincmd/standincmd.go
+++ b/internal/cmd/standincmd/standincmd.go
@@ -19,7 +19,7 @@
 	"dooryard.example/dooryard/internal/version"
 )
 
-const headerTimeout = 10 * clock.Second
+const headerTimeoutMs = 10 * clock.Second
 
 // New returns the command. Stand-ins print their listen address to out.
 func New(out io.Writer) *cli.Command {
@@ -56,7 +56,7 @@
 				Name: "service", Usage: "run a stand-in for one server of a plain service",
 				Flags: []cli.Flag{address, name},
 				Action: func(ctx context.Context, c *cli.Command) error {
-					return serve(ctx, c, out, standin.NewServer(c.String("name"), standin.NewRunLedger(), clock.New()))
+					return serve(ctx, c, out, standin.NewServer(c.String("name"), standin.NewRunCounter(), clock.New()))
 				},
 			},
 			faultCommand(out),
@@ -74,10 +74,10 @@
 }
 
 func newEngine(c *cli.Command) http.Handler {
-	speed := standin.DefaultSpeed()
+	speed := standin.DefaultPerformance()
 	speed.TokenMs = clock.Millis(c.Int("token-ms"))
 	speed.Slots = c.Int("slots")
-	options := []standin.EngineOption{standin.WithSpeed(speed)}
+	options := []standin.EngineOption{standin.WithPerformance(speed)}
 	if c.Bool("check-tokens") {
 		options = append(options, standin.WithTokenChecks())
 	}
@@ -94,7 +94,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout.Duration()}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeoutMs.Duration()}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	fmt.Fprintf(out, "%s listens on %s\n", c.Name, listener.Addr())
--- a/internal/gateway/freshness_test.go
+++ b/internal/gateway/freshness_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestFreshness(t *testing.T) {
-	t.Run("keys are refused once the routing state was not confirmed for too long", func(t *testing.T) {
+	t.Run("keys are refused once the last confirmation of the routing state is too old", func(t *testing.T) {
 		runWithFleet(t, func(f *fleet) {
 			t := f.t
 			f.upstream("u1", respondWith("done"))
@@ -50,7 +50,7 @@
 			assertRefused(t, b, call{path: "/safe/", key: "newer"}, http.StatusUnauthorized)
 			assertRefused(t, b, call{path: "/newer/", key: key}, http.StatusNotFound)
 			f.store.setUnavailable("box-1", true)
-			advance(f.t, 2*defaultInForceMs*time.Millisecond)
+			advance(f.t, 2*defaultMaxPropagationMs*time.Millisecond)
 			assertRefused(t, b, call{path: "/safe/", key: "newer"}, http.StatusServiceUnavailable)
 			assertRefused(t, b, call{path: "/newer/", key: key}, http.StatusServiceUnavailable)
 		})
@@ -87,7 +87,7 @@
 			second := f.boxes(2)[1]
 			advance(f.t, time.Second)
 			f.store.setUnavailable("box-2", true)
-			f.network.SetCut(func(from, to string) bool { return from == "box-1" || to == "box-1" })
+			f.network.SetPartition(func(from, to string) bool { return from == "box-1" || to == "box-1" })
 			advance(f.t, maxAgeMs*time.Millisecond)
 			assertStatus(t, second, "/safe/", http.StatusServiceUnavailable)
 		})
@@ -208,16 +208,16 @@
 		advance(t, 3*time.Second)
 		source := storeReaderOf(boxes).settings.Box
 		f.store.setUnavailable(source, true)
-		f.network.SetSilent(func(from, to string) bool { return from == source && strings.HasPrefix(to, "box-") })
+		f.network.SetBlackhole(func(from, to string) bool { return from == source && strings.HasPrefix(to, "box-") })
 		f.setDraining("u1")
-		advance(t, defaultLeaveMs*time.Millisecond)
+		advance(t, defaultMaxDrainNoticeMs*time.Millisecond)
 		for _, b := range boxes {
 			if b.settings.Box != source {
 				assertDraining(t, b)
 			}
 		}
 		// Unblocks hanging connections before the test ends.
-		f.network.SetSilent(func(string, string) bool { return false })
+		f.network.SetBlackhole(func(string, string) bool { return false })
 		advance(t, 3*time.Second)
 	})
 }
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -16,15 +16,15 @@
 
 // Defaults of the settings, and limits of the listeners.
 const (
-	// defaultInForceMs is about the time within which operators expect a new version to take effect.
-	defaultInForceMs = 2000
-	// defaultLeaveMs is about the shortest delay that a caller notices.
-	defaultLeaveMs = 2000
+	// defaultMaxPropagationMs is about the time within which operators expect a new version to take effect.
+	defaultMaxPropagationMs = 2000
+	// defaultMaxDrainNoticeMs is about the shortest delay that a caller notices.
+	defaultMaxDrainNoticeMs = 2000
 	// defaultLoadCap is a common limit on an upstream's load, as a multiple of the mean load.
 	defaultLoadCap = 2
-	// boundShareOfCap is the share of the cap at which a box stops sending to an upstream. The rest covers load
-	// that boxes don't know of each other yet. With 0.825 and one request of slack less, a tenth of all prompts
-	// moved to another engine and were recomputed or transferred needlessly.
+	// boundShareOfCap is the share of the cap at which a box stops sending to an upstream. The rest covers load that
+	// boxes don't know of each other yet. With 0.825 and one request of slack less, a tenth of all prompts moved to
+	// another engine and were prefilled again or transferred needlessly.
 	boundShareOfCap    = 0.9
 	defaultEjectBaseMs = 1000
 	defaultEjectMaxMs  = 8000
@@ -59,25 +59,25 @@
 
 // defaults returns the settings with defaults applied.
 func defaults(g config.Gateway) config.Gateway {
-	config.Fill(&g.Freshness.InForceMs, defaultInForceMs)
-	config.Fill(&g.Freshness.LeaveMs, defaultLeaveMs)
-	config.Fill(&g.Balance.LoadCap, defaultLoadCap)
-	config.Fill(&g.Balance.BoundPercent, max(percent+1, int(g.Balance.LoadCap*percent*boundShareOfCap)))
-	config.Fill(&g.Balance.EjectBaseMs, defaultEjectBaseMs)
-	config.Fill(&g.Balance.EjectMaxMs, defaultEjectMaxMs)
-	config.Fill(&g.Balance.PanicPercent, defaultPanicPercent)
+	config.SetDefault(&g.Freshness.MaxPropagationMs, defaultMaxPropagationMs)
+	config.SetDefault(&g.Freshness.MaxDrainNoticeMs, defaultMaxDrainNoticeMs)
+	config.SetDefault(&g.Balance.LoadCap, defaultLoadCap)
+	config.SetDefault(&g.Balance.BoundPercent, max(percent+1, int(g.Balance.LoadCap*percent*boundShareOfCap)))
+	config.SetDefault(&g.Balance.EjectBaseMs, defaultEjectBaseMs)
+	config.SetDefault(&g.Balance.EjectMaxMs, defaultEjectMaxMs)
+	config.SetDefault(&g.Balance.PanicPercent, defaultPanicPercent)
 	if g.Quarantine.MinCrashes == nil {
 		ends := defaultMinCrashes
 		g.Quarantine.MinCrashes = &ends
 	}
-	config.Fill(&g.Quarantine.HoldMs, defaultHoldMs)
-	config.Fill(&g.Lines.MaxPerSecond, defaultMaxLines)
-	config.Fill(&g.Capacity.MemoryMb, defaultMemoryMb)
-	config.Fill(&g.Capacity.OpenFiles, defaultOpenFiles)
-	config.Fill(&g.Budget.Ratio, defaultRatio)
-	config.Fill(&g.Budget.Slack, defaultSlack)
-	config.Fill(&g.Budget.WindowS, defaultWindowS)
-	config.Fill(&g.Shutdown.GraceS, defaultGraceS)
+	config.SetDefault(&g.Quarantine.HoldMs, defaultHoldMs)
+	config.SetDefault(&g.LogLimits.MaxPerSecond, defaultMaxLines)
+	config.SetDefault(&g.Capacity.MemoryMb, defaultMemoryMb)
+	config.SetDefault(&g.Capacity.OpenFiles, defaultOpenFiles)
+	config.SetDefault(&g.Budget.Ratio, defaultRatio)
+	config.SetDefault(&g.Budget.Slack, defaultSlack)
+	config.SetDefault(&g.Budget.WindowS, defaultWindowS)
+	config.SetDefault(&g.Shutdown.GraceS, defaultGraceS)
 	return g
 }
 
--- a/internal/gateway/pause_detector.go
+++ b/internal/gateway/pause_detector.go
@@ -15,9 +15,9 @@
 	// maxRefreshWaitMs is the maximum time for which requests wait for the box to refresh its state after a pause, if
 	// the last confirmation is too old. It covers a few gossip rounds and a read of the store, with a margin. If the
 	// refresh does not succeed within this time, requests are processed in the same way as while the store is
-	// unavailable. Until the refresh, the box asks its peers every 50 ms instead of once per round: after all boxes
-	// were stopped for 2.5 s, the worst windows reached 0.54 of their maximum score, compared to 0.23 with one query
-	// per round (one paired run).
+	// unavailable. Until the refresh, the box asks its peers every 50 ms instead of once per round: on a day on
+	// which all boxes were stopped for 2.5 s, the worst windows reached 0.54 of their maximum score, compared to 0.23
+	// with one query per round (one paired run).
 	maxRefreshWaitMs clock.Millis = 400
 	// refreshPollMs is how often a waiting request checks for the refresh.
 	refreshPollMs clock.Millis = 20
--- a/internal/gateway/policy_effects_test.go
+++ b/internal/gateway/policy_effects_test.go
@@ -40,7 +40,7 @@
 		assert.InDelta(t, 0.575, servedWhileStoreUnavailable(t, func(*config.Gateway) {}), 0.001)
 		assert.InDelta(t, 1.0, servedWhileStoreUnavailable(t, withoutMaxAge), 0.001)
 	})
-	t.Run("requests delayed by connections across a 3 s partition: 3 before the policy, 1 with it", func(t *testing.T) {
+	t.Run("requests that wait for connections to a domain behind a 3 s partition: 3 before the policy, 1 with it", func(t *testing.T) {
 		assert.Equal(t, 1, delayedByPartition(t))
 	})
 }
@@ -61,7 +61,7 @@
 		b := f.box(1)
 		advance(f.t, time.Second)
 		partitioned := func(host string) bool { return domains[host] == "e" }
-		f.network.SetCut(func(from, to string) bool { return partitioned(from) || partitioned(to) })
+		f.network.SetPartition(func(from, to string) bool { return partitioned(from) || partitioned(to) })
 		f.network.SetDialDelay(func(_, to string) time.Duration {
 			if partitioned(to) {
 				return 200 * time.Millisecond
--- a/internal/gateway/timing.go
+++ b/internal/gateway/timing.go
@@ -28,7 +28,7 @@
 	periodsInSlack = 6
 	// maxPollMs is the longest wait of a long-polling read. Longer waits save reads of the few boxes that read for
 	// others, but delay confirmations so much that all boxes read directly whenever a large version is in transit: a
-	// run with 87 boxes made 1,712 calls with waits of 2 s and 1,390 with 1 s.
+	// simulated day with 87 boxes made 1,712 calls with waits of 2 s and 1,390 with 1 s.
 	maxPollMs clock.Millis = 1000
 	// maxRemovalGraceMs is how long an entry may stay missing after its store was unavailable. Upstreams rewrite their
 	// entries within about two seconds of the recovery.
@@ -56,8 +56,8 @@
 // timingOf derives the timing from settings with defaults applied. With fixed intervals and bounds of 1 s instead of
 // 2 s, boxes sent requests to upstreams up to 1.5 s after those had announced that they are draining.
 func timingOf(g config.Gateway) timing {
-	leave := clock.Millis(g.Freshness.LeaveMs)
-	slack := max(0, min(leave, clock.Millis(g.Freshness.InForceMs))-directReadLeadMs)
+	leave := clock.Millis(g.Freshness.MaxDrainNoticeMs)
+	slack := max(0, min(leave, clock.Millis(g.Freshness.MaxPropagationMs))-directReadLeadMs)
 	t := timing{
 		periodMs:       max(1, min(maxPeriodMs, slack/periodsInSlack)),
 		removalGraceMs: max(0, min(maxRemovalGraceMs, leave-removalLeadMs)),
@@ -81,7 +81,7 @@
 // for it. Period is the current gossip period.
 func (t timing) directReadAgeMs(g config.Gateway, period clock.Millis) clock.Millis {
 	typicalMs := t.pollMs + 2*period + directReadMarginMs
-	return max(typicalMs, clock.Millis(min(g.Freshness.LeaveMs, g.Freshness.InForceMs))-directReadLeadMs)
+	return max(typicalMs, clock.Millis(min(g.Freshness.MaxDrainNoticeMs, g.Freshness.MaxPropagationMs))-directReadLeadMs)
 }
 
 // shutdownGrace returns the time that a graceful shutdown may take.
--- a/internal/grant/ledger.go
+++ b/internal/grant/ledger.go
@@ -18,8 +18,8 @@
 // Box is the ID of a box in messages.
 type Box = membership.ID
 
-// Place is the ID of an upstream within a pool in messages.
-type Place uint32
+// MemberID is the ID of an upstream as a member of a pool, as used in messages.
+type MemberID uint32
 
 // Settings are the expiry times of a ledger.
 type Settings struct {
@@ -39,7 +39,7 @@
 // several goroutines at a time.
 type Ledger struct {
 	settings Settings
-	places   map[Place]*counts
+	members  map[MemberID]*counts
 	totals   map[totalKey]reportedCount
 	// reported is a buffer that mean reuses.
 	reported []int
@@ -65,61 +65,62 @@
 
 // NewLedger returns an empty ledger.
 func NewLedger(settings Settings) *Ledger {
-	return &Ledger{settings: settings, places: map[Place]*counts{}, totals: map[totalKey]reportedCount{}}
+	return &Ledger{settings: settings, members: map[MemberID]*counts{}, totals: map[totalKey]reportedCount{}}
 }
 
 // Ask is a box's request for one slot.
 type Ask struct {
-	Place Place
-	Box   Box
-	// Held is the number of requests that the box has in flight on the upstream if it gets the slot.
-	Held int
+	MemberID MemberID
+	Box      Box
+	// InFlight is the number of requests that the box has in flight on the upstream if it gets the
+	// slot.
+	InFlight int
 	// Total is the number of requests that the box has in flight on the whole pool if it gets the
 	// slot.
 	Total int
-	// Settle restricts the grant to an upstream whose load, including this request, is at most
-	// settleFraction of the mean, rounded up.
-	Settle bool
+	// BelowMean restricts the grant to an upstream whose load, including this request, is at most
+	// belowMeanFraction of the mean, rounded up.
+	BelowMean bool
 }
 
-// Standing is the state of an upstream in its pool as seen by its owner.
-type Standing struct {
+// MemberState is the state of an upstream in its pool as seen by its owner.
+type MemberState struct {
 	Pool uint32
-	// Part is the upstream's fraction of the pool's weight, 0 to 1.
-	Part float64
+	// WeightFraction is the upstream's fraction of the pool's weight, 0 to 1.
+	WeightFraction float64
 	// Boxes is the number of boxes that send requests to the pool.
 	Boxes int
 	// BoundPercent is the load bound in percent of the mean load.
 	BoundPercent int
 	// Slots is the number of requests that the upstream runs concurrently.
 	Slots int
-	// Closed is set when the upstream does not accept new work.
-	Closed bool
+	// Unavailable is set when the upstream does not accept new work.
+	Unavailable bool
 }
 
 // Ask grants a slot if the upstream's load stays within the load bound and the number of its slots,
-// and if the condition of Settle is met. Over is the number of requests by which the load would exceed
+// and if the condition of BelowMean is met. excess is the number of requests by which the load would exceed
 // the bound or the slots. It is not positive when the slot is granted, or when it is refused only
-// because of Settle.
-func (l *Ledger) Ask(a Ask, s Standing, now clock.Millis) (granted bool, over int) {
+// because of BelowMean.
+func (l *Ledger) Ask(a Ask, s MemberState, now clock.Millis) (granted bool, excess int) {
 	l.totals[totalKey{pool: s.Pool, box: a.Box}] = reportedCount{count: a.Total, receivedMs: now}
-	c := l.counts(a.Place)
-	c.set(a.Box, a.Held, now)
+	c := l.counts(a.MemberID)
+	c.set(a.Box, a.InFlight, now)
 	l.expire(c, now)
 	mean := l.mean(s, now)
-	over = c.sum - min(Limit(mean, s.BoundPercent), s.Slots)
-	if over <= 0 && (!a.Settle || float64(c.sum) <= math.Ceil(settleFraction*mean)) {
-		return true, over
+	excess = c.sum - min(Limit(mean, s.BoundPercent), s.Slots)
+	if excess <= 0 && (!a.BelowMean || float64(c.sum) <= math.Ceil(belowMeanFraction*mean)) {
+		return true, excess
 	}
-	c.set(a.Box, a.Held-1, now)
-	return false, over
+	c.set(a.Box, a.InFlight-1, now)
+	return false, excess
 }
 
-func (l *Ledger) counts(place Place) *counts {
-	c := l.places[place]
+func (l *Ledger) counts(memberID MemberID) *counts {
+	c := l.members[memberID]
 	if c == nil {
 		c = &counts{byBox: map[Box]reportedCount{}}
-		l.places[place] = c
+		l.members[memberID] = c
 	}
 	return c
 }
@@ -147,7 +148,7 @@
 // boxes that asked recently and assumes the median of those for each other box. Boxes without a
 // recent total tend to have little traffic, and the mean would let one busy box raise the estimate
 // for all of them.
-func (l *Ledger) mean(s Standing, now clock.Millis) float64 {
+func (l *Ledger) mean(s MemberState, now clock.Millis) float64 {
 	reported := l.reported[:0]
 	sum := 0
 	for key, t := range l.totals {
@@ -166,13 +167,13 @@
 		slices.Sort(reported)
 		load += float64(unreported * reported[len(reported)/2])
 	}
-	return load * s.Part
+	return load * s.WeightFraction
 }
 
-// settleFraction is the fraction of the mean up to which an upstream accepts a session that has no
+// belowMeanFraction is the fraction of the mean up to which an upstream accepts a session that has no
 // cached prefix there. The margin below the mean leaves capacity for later turns of the sessions
 // that are already there.
-const settleFraction = 0.9
+const belowMeanFraction = 0.9
 
 // smallMean is the mean below which the bound is rounded up. Below it, one request is more than an
 // eighth of the mean, and rounding down would leave upstreams no capacity above the mean at all.
@@ -188,30 +189,30 @@
 	return int(bound)
 }
 
-// Hold records the number of requests that a box has in flight on an upstream.
-func (l *Ledger) Hold(place Place, box Box, held int, now clock.Millis) {
-	l.counts(place).set(box, held, now)
+// SetInFlight records the number of requests that a box has in flight on an upstream.
+func (l *Ledger) SetInFlight(memberID MemberID, box Box, inFlight int, now clock.Millis) {
+	l.counts(memberID).set(box, inFlight, now)
 }
 
-// Forget removes all counts of a box that has left.
-func (l *Ledger) Forget(box Box) {
+// RemoveBox removes all counts of a box that has left.
+func (l *Ledger) RemoveBox(box Box) {
 	for key := range l.totals {
 		if key.box == box {
 			delete(l.totals, key)
 		}
 	}
-	for place, c := range l.places {
+	for memberID, c := range l.members {
 		c.set(box, 0, 0)
 		if len(c.byBox) == 0 {
-			delete(l.places, place)
+			delete(l.members, memberID)
 		}
 	}
 }
 
 // InFlight returns the number of requests in flight on an upstream according to the reports that
 // this owner received.
-func (l *Ledger) InFlight(place Place) int {
-	if c := l.places[place]; c != nil {
+func (l *Ledger) InFlight(memberID MemberID) int {
+	if c := l.members[memberID]; c != nil {
 		return c.sum
 	}
 	return 0
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -135,9 +135,9 @@
 	return changed
 }
 
-// SetListed replaces the platform's list of gossip addresses by box name. The node sends join
+// SetKnownAddresses replaces the platform's list of gossip addresses by box name. The node sends join
 // requests to listed boxes that it does not know.
-func (n *Node) SetListed(addresses map[string]string) { n.listed = addresses }
+func (n *Node) SetKnownAddresses(addresses map[string]string) { n.listed = addresses }
 
 // SetContacts sets the addresses that are contacted while this box knows no other box of its
 // failure domain, or no box of another one.
@@ -186,8 +186,9 @@
 	return out
 }
 
-// nextTarget alternates between the live box with the next higher ID and a traversal of all boxes
-// in random order. As all boxes do so, each box is pinged by its predecessor every other period.
+// nextTarget alternates between the live box with the next higher ID (the lowest ID after the
+// highest) and a traversal of all boxes in random order. As all boxes do so, each box is pinged by
+// its predecessor every other period.
 func (n *Node) nextTarget() (ID, bool) {
 	if n.period%2 == 0 {
 		if id, found := n.successor(); found {
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -19,9 +19,9 @@
 
 // Limits of a call.
 const (
-	maxEditBytes               = 4 << 20
-	submitTimeout              = 15 * clock.Second
-	maxOffsetWait clock.Millis = 30_000
+	maxEditBytes                 = 4 << 20
+	submitTimeoutMs              = 15 * clock.Second
+	maxOffsetWaitMs clock.Millis = 30_000
 )
 
 // Dependencies are the parts of a box that the handler uses.
@@ -57,13 +57,13 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// TableReply is the response with the table or a part of it.
-type TableReply struct {
+// TableResponse is the response with the table or a part of it.
+type TableResponse struct {
 	Offset int64   `json:"offset"`
 	Sheets []Sheet `json:"sheets"`
 }
 
-// Sheet is one sheet of TableReply.
+// Sheet is one sheet of TableResponse.
 type Sheet struct {
 	Name    string   `json:"name"`
 	Columns []string `json:"columns"`
@@ -76,9 +76,9 @@
 	Cells []table.Cell `json:"cells"`
 }
 
-// NewTableReply returns the whole table of a state.
-func NewTableReply(state *table.State) TableReply {
-	reply := TableReply{Offset: state.Offset(), Sheets: []Sheet{}}
+// NewTableResponse returns the whole table of a state.
+func NewTableResponse(state *table.State) TableResponse {
+	reply := TableResponse{Offset: state.Offset(), Sheets: []Sheet{}}
 	for _, name := range table.SheetNames() {
 		reply.Sheets = append(reply.Sheets, newSheet(state, name, state.RowNames(name)))
 	}
@@ -101,7 +101,7 @@
 	state, query := h.deps.Store.State(), r.URL.Query()
 	name := query.Get("sheet")
 	if name == "" {
-		jsonhttp.Write(w, NewTableReply(state))
+		jsonhttp.Write(w, NewTableResponse(state))
 		return
 	}
 	if len(table.Columns(name)) == 0 {
@@ -112,7 +112,7 @@
 	if len(rows) == 0 {
 		rows = state.RowNames(name)
 	}
-	jsonhttp.Write(w, TableReply{Offset: state.Offset(), Sheets: []Sheet{newSheet(state, name, rows)}})
+	jsonhttp.Write(w, TableResponse{Offset: state.Offset(), Sheets: []Sheet{newSheet(state, name, rows)}})
 }
 
 func (h *Handler) history(w http.ResponseWriter, _ *http.Request) {
@@ -128,7 +128,7 @@
 		apierror.New(http.StatusBadRequest, "bad_edit", err.Error()).Write(w)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), submitTimeout.Duration())
+	ctx, cancel := context.WithTimeout(r.Context(), submitTimeoutMs.Duration())
 	defer cancel()
 	verdict, err := h.deps.Store.Submit(ctx, edit)
 	switch {
@@ -170,7 +170,7 @@
 		apierror.New(http.StatusBadRequest, "bad_offset", "offset: must be a whole number").Write(w)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), maxOffsetWait.Duration())
+	ctx, cancel := context.WithTimeout(r.Context(), maxOffsetWaitMs.Duration())
 	defer cancel()
 	if err := h.deps.Store.WaitFor(ctx, offset); err != nil {
 		apierror.New(http.StatusGatewayTimeout, "not_reached", err.Error()).Write(w)
@@ -181,8 +181,8 @@
 
 func (h *Handler) status(w http.ResponseWriter, _ *http.Request) { jsonhttp.Write(w, h.deps.Status()) }
 
-// ExplainReply is the current ranking of a session's upstreams on this box.
-type ExplainReply struct {
+// ExplainResponse is the current ranking of a session's upstreams on this box.
+type ExplainResponse struct {
 	Organisation string              `json:"organisation"`
 	Session      string              `json:"session"`
 	Pool         string              `json:"pool"`
@@ -191,7 +191,7 @@
 
 func (h *Handler) explain(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	reply := ExplainReply{Organisation: query.Get("organisation"), Session: query.Get("session")}
+	reply := ExplainResponse{Organisation: query.Get("organisation"), Session: query.Get("session")}
 	reply.Pool = pool.Name(table.KindEngine, query.Get("model"))
 	if service := query.Get("service"); service != "" {
 		reply.Pool = pool.Name(table.KindService, service)
--- a/internal/pipe/authorise/authorise.go
+++ b/internal/pipe/authorise/authorise.go
@@ -1,5 +1,6 @@
 // Package authorise is the pipeline step that resolves the API key of an opaque request to an
-// organisation. It rejects keys while the routing state is too old to rule out that they were revoked.
+// organisation. It rejects keys while the routing state is too old to rule out that they were
+// revoked.
 package authorise
 
 import (
@@ -10,7 +11,7 @@
 )
 
 // staleRetryMs is the Retry-After of requests refused for a stale routing state: the time for the
-// load balancer in front to switch to another box, or for a source of routing state to recover.
+// front load balancer to switch to another box, or for a source of routing state to recover.
 const staleRetryMs clock.Millis = 500
 
 // Pipe authorises requests by their API key.
@@ -33,7 +34,7 @@
 
 // Recheck refuses a request that needs a key while the routing state is too old to trust its keys.
 func (p *Pipe) Recheck(r *opaque.Request) error {
-	if r.Route.Public || !r.State.Keyed() {
+	if r.Route.Public || !r.State.RequiresKey() {
 		return nil
 	}
 	if maxAge := p.maxStateAgeMs(); maxAge > 0 && p.stateAgeMs() >= maxAge {
@@ -44,7 +45,7 @@
 
 // Run resolves the key of the request to its organisation.
 func (p *Pipe) Run(r *opaque.Request) error {
-	if r.Route.Public || !r.State.Keyed() {
+	if r.Route.Public || !r.State.RequiresKey() {
 		return nil
 	}
 	if err := p.Recheck(r); err != nil {
--- a/internal/pipe/settle/settle.go
+++ b/internal/pipe/settle/settle.go
@@ -1,5 +1,5 @@
-// Package settle is the last step of every request. It releases the resources of the request,
-// counts the outcome and writes the access log line.
+// Package settle is the last step of every request. It releases the resources of the
+// request, counts the outcome and writes the access log line.
 package settle
 
 import (
@@ -35,11 +35,11 @@
 	p.metrics.Requests.Add(1)
 	switch x.Outcome {
 	case exchange.Ran:
-		p.metrics.Ran.Add(1)
+		p.metrics.OutcomeRan.Add(1)
 	case exchange.NotRun:
-		p.metrics.NotRun.Add(1)
+		p.metrics.OutcomeNotRun.Add(1)
 	case exchange.Unknown:
-		p.metrics.Unknown.Add(1)
+		p.metrics.OutcomeUnknown.Add(1)
 	}
 	p.log(x)
 	return nil
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -13,13 +13,13 @@
 
 // Member is an upstream in a pool, with the box that owns it, which counts the requests on it.
 type Member struct {
-	Name  string
-	Place grant.Place
-	// Owner is the name of the box that owns the place.
+	Name     string
+	MemberID grant.MemberID
+	// Owner is the name of the box that owns the member.
 	Owner string
 }
 
-// entries returns the members of a pool with the IDs of their places on the wire and their owners.
+// entries returns the members of a pool with the IDs that they have on the wire and their owners.
 // All boxes that see the same live boxes select the same owners.
 func (m *Manager) entries(p *pool) []Member {
 	hashes := make([]uint64, len(m.fleet.Boxes))
@@ -29,11 +29,11 @@
 	entries := make([]Member, len(p.members))
 	for i, u := range p.members {
 		hash := route.HashName(p.name + "/" + u.row.Name)
-		entries[i] = Member{Name: u.row.Name, Place: grant.Place(hash)}
+		entries[i] = Member{Name: u.row.Name, MemberID: grant.MemberID(hash)}
 		if owner := route.First(route.Key(hash), hashes); owner >= 0 {
 			entries[i].Owner = m.fleet.Boxes[owner]
 		}
-		m.places[entries[i].Place] = place{pool: p, position: i}
+		m.poolPositions[entries[i].MemberID] = poolPosition{pool: p, position: i}
 	}
 	return entries
 }
@@ -92,13 +92,13 @@
 // Reservation is a lease that is already counted, with the resulting load of this box.
 type Reservation struct {
 	Lease *Lease
-	// Held is the number of requests that this box has on the upstream for this pool.
-	Held int
+	// InFlight is the number of requests that this box has on the upstream for this pool.
+	InFlight int
 	// Total is the number of requests that this box has on the whole pool.
 	Total int
-	// WithinOwnBound reports whether this lease keeps the upstream within this box's share of the load
-	// bound.
-	WithinOwnBound bool
+	// WithinLocalBound reports whether this lease keeps the upstream within this box's share of the
+	// load bound.
+	WithinLocalBound bool
 }
 
 // Reserve returns a lease on the upstream with the given name. It returns false if the upstream is
@@ -114,30 +114,30 @@
 	if index < 0 {
 		return Reservation{}, false
 	}
-	within := p.view.WithinOwnBound(index)
+	within := p.view.WithinLocalBound(index)
 	lease := m.lease(p, index)
 	return Reservation{
-		Lease: lease, Held: p.view.Members[index].InFlight, Total: p.view.Total(), WithinOwnBound: within,
+		Lease: lease, InFlight: p.view.Members[index].InFlight, Total: p.view.Total(), WithinLocalBound: within,
 	}, true
 }
 
-// AfterRelease sets a function that is called when the lease is released, with the number of
+// OnRelease sets a function that is called when the lease is released, with the number of
 // requests that this box still has on the upstream.
-func (l *Lease) AfterRelease(afterRelease func(held int)) { l.afterRelease = afterRelease }
+func (l *Lease) OnRelease(onRelease func(inFlight int)) { l.onRelease = onRelease }
 
-// Standing returns the state of a place in its pool, as its owner needs it.
-func (m *Manager) Standing(placeID grant.Place) (grant.Standing, bool) {
+// MemberState returns the state of a member of a pool, as its owner needs it.
+func (m *Manager) MemberState(memberID grant.MemberID) (grant.MemberState, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	found, known := m.places[placeID]
+	found, known := m.poolPositions[memberID]
 	if !known {
-		return grant.Standing{}, false
+		return grant.MemberState{}, false
 	}
 	view := found.pool.view
-	return grant.Standing{
-		Pool: found.pool.id, Part: view.Part(found.position), Boxes: view.Boxes(),
+	return grant.MemberState{
+		Pool: found.pool.id, WeightFraction: view.WeightFraction(found.position), Boxes: view.Boxes(),
 		BoundPercent: view.BoundPercent, Slots: view.Members[found.position].Slots,
-		Closed: found.closed(),
+		Unavailable: found.closed(),
 	}, true
 }
 
@@ -158,11 +158,11 @@
 	})
 }
 
-// Owner returns the name of the box that currently owns a place, or "" if there is none.
-func (m *Manager) Owner(placeID grant.Place) string {
+// Owner returns the name of the box that currently owns a member, or "" if there is none.
+func (m *Manager) Owner(memberID grant.MemberID) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if found, known := m.places[placeID]; known {
+	if found, known := m.poolPositions[memberID]; known {
 		return found.pool.entries[found.position].Owner
 	}
 	return ""
@@ -170,8 +170,8 @@
 
 // Usage is the load of this box on one member.
 type Usage struct {
-	Member Member
-	Held   int
+	Member   Member
+	InFlight int
 }
 
 // InUse returns the members on which this box has requests in flight.
@@ -182,7 +182,7 @@
 	for _, p := range m.pools {
 		for position, member := range p.entries {
 			if held := p.view.Members[position].InFlight; held > 0 {
-				usages = append(usages, Usage{Member: member, Held: held})
+				usages = append(usages, Usage{Member: member, InFlight: held})
 			}
 		}
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -15,7 +15,8 @@
 	name string
 	// begin starts the fault and returns a function that ends it.
 	begin func(f *fleet) (end func(f *fleet) error, err error)
-	// fleetWide is set if the fault affects all boxes at once.
+	// fleetWide is set if the fault affects all boxes at once and is therefore left out of
+	// timed runs. The restore of the store is not marked, although it disturbs all boxes, too.
 	fleetWide bool
 }
 
@@ -58,11 +59,14 @@
 func storeFaults() []fault {
 	list := []fault{}
 	for _, kind := range []standin.StoreFault{
-		standin.StoreBusy, standin.StoreSilent, standin.StoreSlow, standin.StoreReset,
+		standin.StoreBusy, standin.StoreUnresponsive, standin.StoreSlow, standin.StoreReset,
 	} {
 		begin := func(f *fleet) (func(*fleet) error, error) {
 			f.store.SetFault(kind)
-			return withDisturbance(f, allBoxes, func(f *fleet) error { f.store.SetFault(standin.StoreWell); return nil }, nil)
+			return withDisturbance(f, allBoxes, func(f *fleet) error {
+				f.store.SetFault(standin.StoreHealthy)
+				return nil
+			}, nil)
 		}
 		list = append(list, fault{name: "store " + string(kind), fleetWide: true, begin: begin})
 	}
@@ -93,8 +97,8 @@
 func serverFaults() []fault {
 	list := []fault{}
 	for _, kind := range []standin.ServerFault{
-		standin.ServerErrors, standin.ServerShed, standin.ServerLost,
-		standin.ServerTorn, standin.ServerExtra, standin.ServerSlow,
+		standin.ServerErrors, standin.ServerShed, standin.ServerResponseLost,
+		standin.ServerTruncated, standin.ServerDuplicate, standin.ServerSlow,
 	} {
 		list = append(list, fault{name: "server " + string(kind), begin: func(f *fleet) (func(*fleet) error, error) {
 			s := f.randomServer()
@@ -102,7 +106,7 @@
 			current := s.current
 			s.mu.Unlock()
 			current.SetFault(kind)
-			return func(*fleet) error { current.SetFault(standin.ServerWell); return nil }, nil
+			return func(*fleet) error { current.SetFault(standin.ServerHealthy); return nil }, nil
 		}})
 	}
 	return list
@@ -179,7 +183,7 @@
 	}
 	return func(f *fleet) error {
 		defer endDisturbance()
-		f.store.SetFault(standin.StoreWell)
+		f.store.SetFault(standin.StoreHealthy)
 		for _, s := range f.servers {
 			f.writeEntry(s, false)
 		}
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -10,14 +10,14 @@
 	"dooryard.example/dooryard/platform/standin"
 )
 
-// successfulRequest returns a history that holds only the key of a successful request, and the
-// outcome and the run of that request, which are still to be recorded.
+// successfulRequest returns a history that holds only the key of a successful request,
+// and the outcome and the run of that request, which are still to be recorded.
 func successfulRequest(kind string) (*history, *standin.Outcome, *standin.Run) {
 	h := newHistory()
 	h.recordKey("k", "t")
 	o := &standin.Outcome{
 		Call: standin.Call{ID: "1", Kind: kind, Key: "k", DeadlineMs: 1000}, Sent: time.Now(), Status: http.StatusOK,
-		Whole: true, Answer: standin.Body("1"), Seal: "seal-1", Echo: "1",
+		Complete: true, Answer: standin.Body("1"), Seal: "seal-1", Echo: "1",
 	}
 	return h, o, &standin.Run{RequestID: "1", Server: "s", Kind: kind, Tenant: "t", DeadlineMs: 900}
 }
@@ -99,7 +99,7 @@
 func startAfterDraining(h *history, run *standin.Run, after time.Duration) {
 	h.timed = true
 	h.draining[run.Server] = time.Now().Add(-after)
-	run.Began = time.Now()
+	run.StartedAt = time.Now()
 }
 
 func TestDrainBoundAppliesToUndisturbedBoxes(t *testing.T) {
@@ -123,14 +123,14 @@
 			h, o, run := successfulRequest(standin.Safe)
 			o.Box = "b"
 			startAfterDraining(h, run, late)
-			s := h.disturbances.begin(c.disturbed, run.Began.Add(-c.before-time.Second))
-			s.to = run.Began.Add(-c.before)
+			s := h.disturbances.begin(c.disturbed, run.StartedAt.Add(-c.before-time.Second))
+			s.to = run.StartedAt.Add(-c.before)
 			h.recordRun(*run)
 			h.recordOutcome(*o)
 			assert.Len(t, h.check(), c.found)
 		})
 	}
-	t.Run("is not checked in runs without time bounds", func(t *testing.T) {
+	t.Run("is not checked in runs without time bounds, whose machine may be slow", func(t *testing.T) {
 		h, o, run := successfulRequest(standin.Safe)
 		startAfterDraining(h, run, late)
 		h.timed = false
--- a/internal/soak/response_signals.go
+++ b/internal/soak/response_signals.go
@@ -17,7 +17,8 @@
 	// maxBackoffMs is the longest backoff that a server requests.
 	maxBackoffMs = 4000
 	// backoffGrace is how long after a server requested backoff requests may still reach it.
-	// maxSendsInBackoff is how many may reach it in the remaining backoff period.
+	// maxSendsInBackoff is how many requests may reach it after backoffGrace until the backoff
+	// ends.
 	backoffGrace      = 500 * time.Millisecond
 	maxSendsInBackoff = 2
 )
@@ -163,7 +164,7 @@
 func (h *history) lateAfterSignal(pair boxServer, list []delivery) string {
 	var signalled time.Time
 	for _, v := range list {
-		if v.Draining && v.outcome.Whole && (signalled.IsZero() || v.outcome.Ended.Before(signalled)) {
+		if v.Draining && v.outcome.Complete && (signalled.IsZero() || v.outcome.Ended.Before(signalled)) {
 			signalled = v.outcome.Ended
 		}
 	}
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -23,7 +23,7 @@
 
 // OrderCounts summarises the orders that an engine received, and its models.
 type OrderCounts struct {
-	Taken    []engine.Order
+	Accepted []engine.Order
 	Overlaps int
 	Stale    int
 	Models   []string
@@ -34,7 +34,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return OrderCounts{
-		Taken: slices.Clone(e.orders.accepted), Overlaps: e.orders.overlaps,
+		Accepted: slices.Clone(e.orders.accepted), Overlaps: e.orders.overlaps,
 		Stale: e.orders.stale, Models: slices.Clone(e.models),
 	}
 }
@@ -78,7 +78,7 @@
 }
 
 func (e *Engine) executeOrder(order engine.Order) {
-	_ = e.clock.Sleep(e.ctx, e.speed.OrderMs)
+	_ = e.clock.Sleep(e.ctx, e.performance.OrderMs)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders.outstanding = ""
--- a/internal/table/state.go
+++ b/internal/table/state.go
@@ -47,8 +47,8 @@
 	ID       string   `json:"id"`
 	Operator string   `json:"operator"`
 	Changes  []Change `json:"changes"`
-	// Before holds the replaced values in the order of Changes.
-	Before []string `json:"before"`
+	// PreviousValues holds the replaced values in the order of Changes.
+	PreviousValues []string `json:"before"`
 	// Removed maps "sheet/row" to the values of a removed row in column order.
 	Removed map[string][]string `json:"removed,omitempty"`
 }
@@ -131,10 +131,10 @@
 	return slices.Sorted(maps.Keys(s.sheets[sheetName]))
 }
 
-// Apply applies the log record at an offset and returns the resulting state. A
-// malformed record, a duplicate of an edit and an edit that is not accepted leave
-// the cells unchanged. The verdict has an empty ID if the record is malformed or
-// a duplicate.
+// Apply applies the log record at an offset and returns the resulting state. Every
+// record advances the offset. A malformed record, a duplicate of an edit and an
+// edit that is not accepted leave the cells unchanged. The verdict has an empty ID
+// if the record is malformed or a duplicate.
 func (s *State) Apply(offset int64, record []byte) (*State, Verdict) {
 	next := *s
 	next.offset = offset + 1
@@ -333,7 +333,7 @@
 func (s *State) appendHistory(before *State, offset int64, edit Edit) {
 	entry := HistoryEntry{Offset: offset, ID: edit.ID, Operator: edit.Operator, Changes: edit.Changes}
 	for _, change := range edit.Changes {
-		entry.Before = append(entry.Before, before.currentCell(change).Value)
+		entry.PreviousValues = append(entry.PreviousValues, before.currentCell(change).Value)
 		if change.Remove {
 			entry.addRemoved(change.Address(), before.Row(change.Sheet, change.Row))
 		}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -39,8 +39,8 @@
 
 // Timeouts and limits of a client.
 const (
-	// connectTimeoutMs is fifty round trips between failure domains, and too short for callers to
-	// notice.
+	// connectTimeoutMs is the time of about fifty round trips between failure domains, and too short
+	// for callers to notice.
 	connectTimeoutMs = 200
 	// unackedTimeoutMs is how long sent bytes may remain unacknowledged. It tolerates the loss of
 	// two consecutive packets.
@@ -244,8 +244,8 @@
 	Unresponsive
 )
 
-// ProbeLiveness determines whether the upstream's process is running. If a connection opens, it is kept
-// for the next request. No connection is opened while a usable idle one exists.
+// ProbeLiveness determines whether the upstream's process is running. If a connection opens, it is
+// kept for the next request. No connection is opened while a usable idle one exists.
 func (c *Client) ProbeLiveness(ctx context.Context) Liveness {
 	if cn := c.popIdle(); cn != nil {
 		c.putUnused(cn)
--- a/internal/why/why.go
+++ b/internal/why/why.go
@@ -27,7 +27,7 @@
 	raw    []byte
 }
 
-// maxLineBytes bounds one log line; boxes write no longer ones.
+// maxLineBytes is the maximum length of a log line. Boxes don't write longer lines.
 const maxLineBytes = 1 << 20
 
 // Read appends the lines of a log. It ignores text before a line's first brace, such as a
@@ -66,10 +66,10 @@
 	return l.Time.Add(time.Duration(l.BackoffMs) * time.Millisecond)
 }
 
-// Story returns the lines of a request and the state changes that its boxes logged from the
+// RequestLines returns the lines of a request and the state changes that its boxes logged from the
 // span before its first line up to its last line, ordered by time. Earlier state changes are
 // included if they were still in effect, such as the backoff of an upstream.
-func Story(lines []Line, request string, before time.Duration) []Line {
+func RequestLines(lines []Line, request string, before time.Duration) []Line {
 	own := []Line{}
 	boxes := map[string]bool{}
 	for _, line := range lines {
