--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -42,9 +42,9 @@
 	return PickRequest{Pool: "p", Sticky: true, Prompt: prompt.Prompt{{ID: session, Tokens: 1000}, {ID: "own", Tokens: 10}}}
 }
 
-func (f *fixture) pick(t *testing.T, a PickRequest) *Lease {
+func (f *fixture) pick(t *testing.T, request PickRequest) *Lease {
 	t.Helper()
-	l, err := f.Pick(a)
+	l, err := f.Pick(request)
 	require.NoError(t, err)
 	return l
 }
@@ -81,7 +81,7 @@
 		f := newFixture(t, 3)
 		first := f.pick(t, sticky("s"))
 		first.Release(Succeeded)
-		first.Report(30)
+		first.RecordLoad(30)
 		second := f.pick(t, sticky("s"))
 		second.Release(Succeeded)
 		assert.NotEqual(t, first.ID, second.ID)
--- a/internal/balance/fetch.go
+++ b/internal/balance/fetch.go
@@ -13,15 +13,15 @@
 // more than the chosen engine caches. Fetching raises the value score by 0.029 on days with crashes
 // and partitions (ten paired runs, standard error 0.002); 0.005 of it (0.001) is due to what other
 // boxes announce about engines.
-func (m *Manager) chooseFetchSource(lease *Lease, a PickRequest, shared []prompt.KeyedPart, now clock.Millis) {
-	if !a.Transfers || len(shared) == 0 {
+func (m *Manager) chooseFetchSource(lease *Lease, request PickRequest, shared []prompt.KeyedPart, now clock.Millis) {
+	if !request.Transfers || len(shared) == 0 {
 		return
 	}
 	own := lease.parts.cachedTokens(shared, now)
 	if tokens(shared)-own < minFetchTokens {
 		return
 	}
-	order := rank(a.Prompt.Session(), m.pools[a.Pool])
+	order := rank(request.Prompt.Session(), m.pools[request.Pool])
 	if address, cached := m.knownHolder(lease, order, shared, now); cached >= own+minFetchTokens {
 		lease.FetchFrom = address
 		return
@@ -34,7 +34,7 @@
 // likely sent the session to that engine.
 func (m *Manager) likelyHolder(lease *Lease, order []*Member, now clock.Millis) string {
 	first := order[0]
-	if m.fleetInFlightByPool == nil || first == lease.Member || first.refuses(now) || !m.usable(first, now) {
+	if m.fleetInFlightByPool == nil || first == lease.Member || first.unavailable(now) || !m.usable(first, now) {
 		return ""
 	}
 	return first.Address
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -83,7 +83,7 @@
 		f := newFixture(t, 3).withStartTimes()
 		previous := f.pick(t, ask)
 		f.restart(previous.ID)
-		previous.Report(30)
+		previous.RecordLoad(30)
 		assert.Zero(t, f.pick(t, ask).Load)
 	})
 	t.Run("a late announcement of a part that the previous incarnation cached is ignored", func(t *testing.T) {
--- a/internal/balance/largefleet_test.go
+++ b/internal/balance/largefleet_test.go
@@ -109,7 +109,7 @@
 func (f *largeFleet) completeDue() {
 	for _, lease := range f.responseStarts[f.now] {
 		lease.RecordResponseStart()
-		lease.Report(f.engineLoad[lease.ID])
+		lease.RecordLoad(f.engineLoad[lease.ID])
 	}
 	delete(f.responseStarts, f.now)
 	for _, lease := range f.completions[f.now] {
@@ -141,7 +141,7 @@
 	return PermitReply{Granted: granted || lost(), Release: release}
 }
 
-// gossipRunning tells each box once a second the approximate number of requests that all boxes
+// gossipRunning sends each box once a second the approximate number of requests that all boxes
 // together have in flight.
 func (f *largeFleet) gossipRunning() {
 	for i, m := range f.boxes {
--- a/internal/balance/netpath.go
+++ b/internal/balance/netpath.go
@@ -142,5 +142,5 @@
 
 // usable reports whether a member may receive new requests.
 func (m *Manager) usable(member *Member, now clock.Millis) bool {
-	return !member.refuses(now) && member.acceptsRequest(now) && !m.pathTo(member.FailureDomain).partitioned
+	return !member.unavailable(now) && member.acceptsRequest(now) && !m.pathTo(member.FailureDomain).partitioned
 }
--- a/internal/balance/permits.go
+++ b/internal/balance/permits.go
@@ -27,14 +27,16 @@
 
 // PickWithPermit picks like Pick, and requests a permit at each engine until one is granted.
 // Acquire requests a permit under a bound from the owner of the lease's engine.
-func (m *Manager) PickWithPermit(a PickRequest, acquire func(lease *Lease, bound int) PermitReply) (*Lease, error) {
+func (m *Manager) PickWithPermit(
+	request PickRequest, acquire func(lease *Lease, bound int) PermitReply,
+) (*Lease, error) {
 	for {
-		lease, err := m.Pick(a)
+		lease, err := m.Pick(request)
 		if err != nil || lease.bound == 0 {
 			return lease, err
 		}
 		bound := lease.bound
-		if len(a.Full) >= maxPermitRefusals {
+		if len(request.Full) >= maxPermitRefusals {
 			bound = math.MaxInt16
 		}
 		permit := acquire(lease, bound)
@@ -43,7 +45,7 @@
 			return lease, nil
 		}
 		lease.cancel()
-		a.Full = append(a.Full, lease.ID)
+		request.Full = append(request.Full, lease.ID)
 	}
 }
 
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -82,22 +82,22 @@
 )
 
 // Pick chooses an upstream and counts the request there.
-func (m *Manager) Pick(a PickRequest) (*Lease, error) {
+func (m *Manager) Pick(request PickRequest) (*Lease, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.monotonic()
-	members := m.candidates(a, now)
+	members := m.candidates(request, now)
 	if len(members) == 0 {
-		return nil, m.noUpstreamError(a.Pool, now)
+		return nil, m.noUpstreamError(request.Pool, now)
 	}
-	total := m.total(a.Pool, members, now)
-	shared := a.Prompt.Shared().KeyedParts()
+	total := m.total(request.Pool, members, now)
+	shared := request.Prompt.Shared().KeyedParts()
 	lease := &Lease{manager: m, MeanPercent: percent * total / len(members)}
-	if a.Sticky && len(a.Prompt) > 0 {
-		m.pickSticky(lease, members, a, total, now)
-		m.chooseFetchSource(lease, a, shared, now)
-		lease.Prefill = m.estimatePrefill(lease, a, shared, now)
-		lease.Skipped = m.skippedEngine(lease, a, now)
+	if request.Sticky && len(request.Prompt) > 0 {
+		m.pickSticky(lease, members, request, total, now)
+		m.chooseFetchSource(lease, request, shared, now)
+		lease.Prefill = m.estimatePrefill(lease, request, shared, now)
+		lease.Skipped = m.skippedEngine(lease, request, now)
 	} else {
 		m.pickLeastLoaded(lease, members, now)
 	}
@@ -118,11 +118,11 @@
 // tried, are behind a partitioned path, are draining or are backing off. Of the others it also excludes
 // those that are ejected or were sent a trial request recently, unless these are more than PanicPercent
 // of the others.
-func (m *Manager) candidates(a PickRequest, now clock.Millis) []*Member {
+func (m *Manager) candidates(request PickRequest, now clock.Millis) []*Member {
 	healthy, all := []*Member{}, []*Member{}
-	for _, member := range m.pools[a.Pool] {
-		if member.refuses(now) || m.pathTo(member.FailureDomain).partitioned ||
-			slices.Contains(a.Tried, member.ID) {
+	for _, member := range m.pools[request.Pool] {
+		if member.unavailable(now) || m.pathTo(member.FailureDomain).partitioned ||
+			slices.Contains(request.Tried, member.ID) {
 			continue
 		}
 		all = append(all, member)
@@ -139,17 +139,17 @@
 // pickSticky chooses the first engine in the session's order that is below the bound, or else the
 // least loaded one. If a session needs more capacity than one engine has, the search starts at a
 // random one of the first engines, of which there are as many as the session needs.
-func (m *Manager) pickSticky(lease *Lease, members []*Member, a PickRequest, total int, now clock.Millis) {
-	ranked := rank(a.Prompt.Session(), members)
+func (m *Manager) pickSticky(lease *Lease, members []*Member, request PickRequest, total int, now clock.Millis) {
+	ranked := rank(request.Prompt.Session(), members)
 	bound := m.bound(total, len(members))
-	lease.Spread = spreadWidth(m.sessionShare(a, now), total, len(members), bound)
+	lease.Spread = spreadWidth(m.sessionShare(request, now), total, len(members), bound)
 	order := ranked
 	if lease.Spread > 1 {
 		order = rotateFirst(ranked, m.random(lease.Spread), lease.Spread)
 	}
 	lease.Member = order[0]
 	for _, member := range order {
-		if slices.Contains(a.Full, member.ID) {
+		if slices.Contains(request.Full, member.ID) {
 			continue
 		}
 		load := member.load(now)
@@ -169,16 +169,16 @@
 
 // sessionShare returns the session's share of the pool's recent requests. It counts the request,
 // unless this is a further pick after an owner refused a permit.
-func (m *Manager) sessionShare(a PickRequest, now clock.Millis) float64 {
-	h := m.hotSessions[a.Pool]
+func (m *Manager) sessionShare(request PickRequest, now clock.Millis) float64 {
+	h := m.hotSessions[request.Pool]
 	if h == nil {
 		h = newSessionCounts(now)
-		m.hotSessions[a.Pool] = h
+		m.hotSessions[request.Pool] = h
 	}
-	if len(a.Full) == 0 {
-		h.record(a.Prompt.Session(), now)
+	if len(request.Full) == 0 {
+		h.record(request.Prompt.Session(), now)
 	}
-	return h.share(a.Prompt.Session())
+	return h.share(request.Prompt.Session())
 }
 
 // bound returns the maximum load of an engine: the configured multiple of the mean including this
@@ -293,8 +293,8 @@
 	l.path.onPartition[l] = callback
 }
 
-// Report records the upstream's own count of the requests it holds.
-func (l *Lease) Report(count int) {
+// RecordLoad records the upstream's own count of the requests it holds.
+func (l *Lease) RecordLoad(count int) {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
 	l.reportedLoad = count
--- a/internal/balance/prefill.go
+++ b/internal/balance/prefill.go
@@ -32,11 +32,13 @@
 
 // estimatePrefill returns what the chosen engine is expected to prefill. It must run before the
 // prompt is recorded as cached there.
-func (m *Manager) estimatePrefill(lease *Lease, a PickRequest, shared []prompt.KeyedPart, now clock.Millis) Prefill {
+func (m *Manager) estimatePrefill(
+	lease *Lease, request PickRequest, shared []prompt.KeyedPart, now clock.Millis,
+) Prefill {
 	total := tokens(shared)
 	cached := lease.parts.cachedTokens(shared, now)
 	unreachable, concurrent, reachable := 0, 0, 0
-	for _, member := range m.pools[a.Pool] {
+	for _, member := range m.pools[request.Pool] {
 		memberCached := member.parts.cachedTokens(shared, now)
 		switch {
 		case member == lease.Member:
@@ -50,7 +52,7 @@
 		}
 	}
 	lostTokens := m.lostParts.cachedTokens(shared, now)
-	for _, member := range m.departed[a.Pool] {
+	for _, member := range m.departed[request.Pool] {
 		if member.Address == lease.FetchFrom {
 			cached = max(cached, member.parts.cachedTokens(shared, now))
 		}
--- a/internal/balance/prefill_test.go
+++ b/internal/balance/prefill_test.go
@@ -13,13 +13,13 @@
 	transfers.Transfers = true
 	// secondPrefill returns the prefill of an engine to which a session is sent after its first
 	// engine prefilled it.
-	secondPrefill := func(t *testing.T, a PickRequest, disrupt func(f *fixture, first *Lease)) Prefill {
+	secondPrefill := func(t *testing.T, request PickRequest, disrupt func(f *fixture, first *Lease)) Prefill {
 		t.Helper()
 		f := newFixture(t, 6)
-		first := f.pick(t, a)
+		first := f.pick(t, request)
 		assert.Equal(t, Prefill{Tokens: 1000, Reason: PrefillNew}, first.Prefill)
 		disrupt(f, first)
-		second := f.pick(t, a)
+		second := f.pick(t, request)
 		assert.NotEqual(t, first.ID, second.ID)
 		return second.Prefill
 	}
--- a/internal/balance/probes.go
+++ b/internal/balance/probes.go
@@ -78,7 +78,7 @@
 	for _, member := range m.byID {
 		switch {
 		case member.FailureDomain != name:
-		case member.health.Ejected(now) || member.refuses(now):
+		case member.health.Ejected(now) || member.unavailable(now):
 			unhealthy = append(unhealthy, member.client)
 		default:
 			healthy = append(healthy, member.client)
--- a/internal/balance/signals.go
+++ b/internal/balance/signals.go
@@ -79,8 +79,8 @@
 // responses, whichever says so first.
 func (m *Member) draining() bool { return m.Draining || m.signals.shuttingDown }
 
-// refuses reports whether the upstream accepts no new requests from this box.
-func (m *Member) refuses(now clock.Millis) bool { return m.draining() || m.signals.backingOff(now) }
+// unavailable reports whether the upstream accepts no new requests from this box.
+func (m *Member) unavailable(now clock.Millis) bool { return m.draining() || m.signals.backingOff(now) }
 
 // BackOff records that the upstream refused a request and asked this box to back off for a duration.
 // It reports whether the upstream was not backing off before. If several backoffs overlap, the one
--- a/internal/balance/skipped.go
+++ b/internal/balance/skipped.go
@@ -38,21 +38,21 @@
 
 // skippedEngine returns the engine that ranks first for the session in the whole pool, unless it
 // was chosen.
-func (m *Manager) skippedEngine(lease *Lease, a PickRequest, now clock.Millis) Skipped {
-	first := rank(a.Prompt.Session(), m.pools[a.Pool])[0]
+func (m *Manager) skippedEngine(lease *Lease, request PickRequest, now clock.Millis) Skipped {
+	first := rank(request.Prompt.Session(), m.pools[request.Pool])[0]
 	if first == lease.Member {
 		return Skipped{}
 	}
-	reason := m.skipReason(first, a, now)
+	reason := m.skipReason(first, request, now)
 	if reason == SkipOverloaded && lease.Spread > 1 {
 		reason = SkipSpread
 	}
 	return Skipped{Upstream: first.ID, Reason: reason}
 }
 
-func (m *Manager) skipReason(member *Member, a PickRequest, now clock.Millis) SkipReason {
+func (m *Manager) skipReason(member *Member, request PickRequest, now clock.Millis) SkipReason {
 	switch {
-	case slices.Contains(a.Tried, member.ID):
+	case slices.Contains(request.Tried, member.ID):
 		return SkipTried
 	case member.draining():
 		return SkipDraining
--- a/internal/balance/surge_test.go
+++ b/internal/balance/surge_test.go
@@ -106,7 +106,7 @@
 		for _, lease := range s.completions[s.now] {
 			s.engineLoad[lease.ID]--
 			s.running--
-			lease.Report(s.engineLoad[lease.ID])
+			lease.RecordLoad(s.engineLoad[lease.ID])
 			lease.Release(Succeeded)
 		}
 		delete(s.completions, s.now)
--- a/internal/box/engines.go
+++ b/internal/box/engines.go
@@ -138,7 +138,7 @@
 		Token: held.Token, UntilMs: held.UntilMs, SinceMs: held.SinceMs, DurationMs: lease.DurationMs,
 	}, b.clock.Now())
 	if !needed {
-		return placement.Settled(row, state)
+		return placement.Converged(row, state)
 	}
 	if order.Action == engine.ActionLoad && !b.reserveLoad(ctx, order.Model) {
 		return false
--- a/internal/box/stop.go
+++ b/internal/box/stop.go
@@ -36,7 +36,7 @@
 	err := errors.Join(b.servers.callers.Shutdown(ctx), b.servers.peers.Shutdown(ctx))
 	err = errors.Join(err, b.flushClaims(ctx))
 	b.closeListeners()
-	b.logger.Info("shutdown finished", zap.String("box", b.settings.Box), zap.Error(err))
+	b.logger.Info("stopped", zap.String("box", b.settings.Box), zap.Error(err))
 	return err
 }
 
--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -20,15 +20,15 @@
 	ListPollsPerSecond         float64
 	TableReadsPerSecondIdle    float64
 	SumsMessagesPerDomain      float64
-	// HTTPCallsPerClaim is the number of calls for a claim and its settlement: the calls to the gatherer, and the
-	// gatherer's appends and reads.
+	// HTTPCallsPerClaim is the number of calls for a claim and its settlement: the calls to the coordinator, and the
+	// coordinator's appends and reads.
 	HTTPCallsPerClaim float64
 	// Calls holds the sizes of single calls.
 	Calls CallBytes
 }
 
 // RequiredTarget returns the size that the users require, with the sizes of single calls as measured now. A claim costs
-// two calls to the gatherer: one for the claim and one for its settlement.
+// two calls to the coordinator: one for the claim and one for its settlement.
 func RequiredTarget() Target {
 	return Target{
 		Boxes: 2500, Domains: 28, Engines: 10_000, RequestsPerSecond: 59_000,
@@ -115,7 +115,7 @@
 func (b budget) sums() Role {
 	messages := 2 * b.t.SumsMessagesPerDomain * (b.t.Domains - 1) / b.domainBoxes
 	return Role{
-		Name: "sums between failure domains", Package: "internal/box (sumsLoop)",
+		Name: "sums between failure domains", Package: "internal/box (domainSumsLoop)",
 		BytesPerSecond: messages * b.t.Calls.Sums,
 		CorePercent:    perSecondPercent(messages, b.datagram),
 	}
@@ -173,12 +173,12 @@
 	}
 }
 
-// claims returns the cost of the calls to gatherers and, on average, of gathering the claims of other boxes.
+// claims returns the cost of the calls to coordinators and, on average, of coordinating the claims of other boxes.
 func (b budget) claims() Role {
 	perSecond := b.t.RequestsPerSecond * b.t.NonIdempotentFraction / b.t.Boxes
 	return Role{
 		Name: "claims", Package: "internal/claim",
-		BytesPerSecond: perSecond * (b.t.Calls.ClaimToGatherer + b.t.Calls.ClaimAtGatherer),
+		BytesPerSecond: perSecond * (b.t.Calls.ClaimToCoordinator + b.t.Calls.ClaimAtCoordinator),
 		CorePercent:    perSecondPercent(perSecond*b.t.HTTPCallsPerClaim, 2*b.call),
 		MB:             max(0, b.costAt("claims: memory of remembered keys", perSecond*b.t.ClaimWindowSeconds)),
 	}
--- a/internal/capacity/callbytes.go
+++ b/internal/capacity/callbytes.go
@@ -22,9 +22,9 @@
 	EngineReport float64 `json:"engine_report"`
 	ListPoll     float64 `json:"list_poll"`
 	TableRead    float64 `json:"table_read"`
-	// ClaimToGatherer and ClaimAtGatherer are the sizes of the calls for a claim and its settlement.
-	ClaimToGatherer float64 `json:"claim_to_gatherer"`
-	ClaimAtGatherer float64 `json:"claim_at_gatherer"`
+	// ClaimToCoordinator and ClaimAtCoordinator are the sizes of the calls for a claim and its settlement.
+	ClaimToCoordinator float64 `json:"claim_to_gatherer"`
+	ClaimAtCoordinator float64 `json:"claim_at_gatherer"`
 	// Sums is the size of a datagram that sends the aggregated facts of a failure domain to another one.
 	Sums float64 `json:"sums"`
 }
@@ -71,11 +71,11 @@
 			_, err := engine.Client{URL: engineServer.URL, Client: c.client}.Load(ctx)
 			return err
 		}),
-		ListPoll:        c.listPoll(server.URL),
-		TableRead:       c.tableRead(log),
-		ClaimToGatherer: c.claim(false),
-		ClaimAtGatherer: c.claim(true),
-		Sums:            sumsBytes(),
+		ListPoll:           c.listPoll(server.URL),
+		TableRead:          c.tableRead(log),
+		ClaimToCoordinator: c.claim(false),
+		ClaimAtCoordinator: c.claim(true),
+		Sums:               sumsBytes(),
 	}
 }
 
@@ -115,14 +115,14 @@
 	return err
 }
 
-// claim returns the bytes of a claim and its settlement: either those of the calls to the gatherer, which have the form
-// of an append, or those of the gatherer's own appends and reads.
-func (c *callCounter) claim(atGatherer bool) float64 {
+// claim returns the bytes of a claim and its settlement: either those of the calls to the coordinator, which have the
+// form of an append, or those of the coordinator's own appends and reads.
+func (c *callCounter) claim(atCoordinator bool) float64 {
 	c.offset = 0
-	stream := fmt.Sprint("claims-", atGatherer)
+	stream := fmt.Sprint("claims-", atCoordinator)
 	return c.count(func(ctx context.Context) error {
 		for _, record := range claimRecords(1) {
-			if err := c.appendClaim(ctx, stream, record, atGatherer); err != nil {
+			if err := c.appendClaim(ctx, stream, record, atCoordinator); err != nil {
 				return err
 			}
 		}
@@ -130,16 +130,16 @@
 	})
 }
 
-func (c *callCounter) appendClaim(ctx context.Context, stream string, record claim.Record, atGatherer bool) error {
+func (c *callCounter) appendClaim(ctx context.Context, stream string, record claim.Record, atCoordinator bool) error {
 	var value any = record
-	if atGatherer {
+	if atCoordinator {
 		value = claim.Batch{Records: []claim.Record{record}}
 	}
 	data, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
-	if _, err := c.log.Append(ctx, stream, data); err != nil || !atGatherer {
+	if _, err := c.log.Append(ctx, stream, data); err != nil || !atCoordinator {
 		return err
 	}
 	return c.readNext(ctx, stream)
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -10,7 +10,7 @@
 // for a backoff without requests, or that it is draining. It logs the start of a backoff, and draining once.
 func (b *Box) handleSignals(request string, lease *balance.Lease, signals opaque.Signals) {
 	if signals.HasLoad {
-		lease.Report(signals.InFlight)
+		lease.RecordLoad(signals.InFlight)
 	}
 	if signals.Err != nil {
 		b.ReportInvalidInput("response headers of upstream "+lease.ID, signals.Err)
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -125,7 +125,7 @@
 	})
 }
 
-func TestDemandPart(t *testing.T) {
+func TestDemandFraction(t *testing.T) {
 	t.Run("adds up to one over boxes that know each other's demand", func(t *testing.T) {
 		demands := []float64{90, 5, 5, 0, 0, 0, 0, 0, 0}
 		sum := 0.0
@@ -142,7 +142,7 @@
 	})
 }
 
-func TestSlotsPart(t *testing.T) {
+func TestSlotsShare(t *testing.T) {
 	t.Run("adds up to all slots", func(t *testing.T) {
 		for _, used := range [][]float64{{0, 0, 0}, {30, 2, 1}, {200, 50, 50}} {
 			sum, all := 0.0, used[0]+used[1]+used[2]
--- a/internal/membership/domains.go
+++ b/internal/membership/domains.go
@@ -13,8 +13,8 @@
 	lastSeenMs clock.Millis
 }
 
-// OtherDomainBoxes returns the boxes of other failure domains that this box heard of within a span,
-// sorted by name. They are not members.
+// OtherDomainBoxes returns the boxes of other failure domains of which this box received an update
+// within a span, sorted by name. They are not members.
 func (n *Node) OtherDomainBoxes(now, span clock.Millis) []Box {
 	boxes := []Box{}
 	for _, f := range n.foreign {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -156,7 +156,7 @@
 	return g.node.DomainFacts(g.clock.Now(), span)
 }
 
-// OtherDomainBoxes returns the boxes of other failure domains that this box heard of within a span.
+// OtherDomainBoxes returns the boxes of other failure domains of which this box received an update within a span.
 func (g *Gossip) OtherDomainBoxes(span clock.Millis) []Box {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/opaque/dialect.go
+++ b/internal/opaque/dialect.go
@@ -18,7 +18,7 @@
 	RequestID string
 	// DeadlineMs carries the time that the sender still waits for the response, in milliseconds.
 	DeadlineMs string
-	// Organisation tells upstreams which organisation the caller belongs to.
+	// Organisation carries the organisation that the caller belongs to.
 	Organisation string
 	// ExpectUpstream carries the only upstream incarnation that may run the request.
 	ExpectUpstream string
--- a/internal/pipe/dispatch/dispatch.go
+++ b/internal/pipe/dispatch/dispatch.go
@@ -18,7 +18,7 @@
 // Dependencies are the parts of the box that the step uses.
 type Dependencies struct {
 	// Pick selects an upstream and counts the request in its load.
-	Pick func(ctx context.Context, a balance.PickRequest) (*balance.Lease, error)
+	Pick func(ctx context.Context, pickRequest balance.PickRequest) (*balance.Lease, error)
 	// MayRetry takes one retry from the pool's retry budget. It returns false if the budget is used
 	// up.
 	MayRetry func(pool string) bool
--- a/internal/pipe/dispatch/failure.go
+++ b/internal/pipe/dispatch/failure.go
@@ -54,7 +54,7 @@
 	return f.response.status
 }
 
-// impliesNotRun reports whether a status tells the caller that the request did not run.
+// impliesNotRun reports whether a status implies that the request did not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests,
--- a/internal/pipe/forward/stream.go
+++ b/internal/pipe/forward/stream.go
@@ -28,9 +28,9 @@
 
 // Errors of a stream.
 var (
-	errCallerGone  = errors.New("the caller left")
-	errIdleTimeout = errors.New("stream idle timeout")
-	errEventOrder  = errors.New("stream event out of order")
+	errCallerDisconnected = errors.New("the caller left")
+	errIdleTimeout        = errors.New("stream idle timeout")
+	errEventOrder         = errors.New("stream event out of order")
 )
 
 func isEventStream(response *http.Response) bool {
@@ -45,15 +45,15 @@
 	lease *pool.Lease
 	// nextOffset is the offset of the next event to send to the caller.
 	nextOffset int64
-	// numbered is set as long as all events have offsets and the stream can be resumed.
-	numbered bool
-	frame    []byte
+	// eventsHaveOffsets is set as long as all events have offsets, so that the stream can be resumed.
+	eventsHaveOffsets bool
+	frame             []byte
 }
 
 // stream relays the events of a response. A broken stream is resumed at its offset. If that is
 // not possible, the response to the caller ends with an error event.
 func (p *Pipe) stream(ctx context.Context, x *exchange.Exchange, lease *pool.Lease, response *http.Response) *failure {
-	s := &streamRelay{p: p, x: x, lease: lease, numbered: true}
+	s := &streamRelay{p: p, x: x, lease: lease, eventsHaveOffsets: true}
 	err := s.relayEvents(response.Body)
 	for idle := 0; s.resumable(err) && idle < maxIdleResumes; {
 		p.metrics.Resumes.Add(1)
@@ -72,7 +72,7 @@
 }
 
 func (s *streamRelay) resumable(err error) bool {
-	return err != nil && s.numbered && !errors.Is(err, errCallerGone) && s.x.Context().Err() == nil
+	return err != nil && s.eventsHaveOffsets && !errors.Is(err, errCallerDisconnected) && s.x.Context().Err() == nil
 }
 
 // relayEvents relays events until the body ends. Nothing is sent to the caller before the first
@@ -95,9 +95,9 @@
 // relayEvent sends an event to the caller, unless the caller already has it.
 func (s *streamRelay) relayEvent(event engine.Event) error {
 	if event.ID == engine.NoID {
-		s.numbered = false
+		s.eventsHaveOffsets = false
 	}
-	if s.numbered {
+	if s.eventsHaveOffsets {
 		if event.ID < s.nextOffset {
 			return nil
 		}
@@ -139,10 +139,10 @@
 func (s *streamRelay) write(part []byte) error {
 	s.p.extendWriteDeadline(s.x)
 	if _, err := s.x.Writer.Write(part); err != nil {
-		return fmt.Errorf("%w: %w", errCallerGone, err)
+		return fmt.Errorf("%w: %w", errCallerDisconnected, err)
 	}
 	if err := s.x.Writer.FlushNow(); err != nil {
-		return fmt.Errorf("%w: %w", errCallerGone, err)
+		return fmt.Errorf("%w: %w", errCallerDisconnected, err)
 	}
 	return nil
 }
@@ -169,7 +169,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK || response.Header.Get(engine.HeaderRequestID) != s.x.ID {
-		s.numbered = false
+		s.eventsHaveOffsets = false
 		return fmt.Errorf("resume: %w %s", errStatus, statusText(response.StatusCode))
 	}
 	return s.relayEvents(response.Body)
@@ -179,7 +179,7 @@
 // event, so that it does not appear complete.
 func (s *streamRelay) abort(cause error) *failure {
 	s.cancelUpstream()
-	if errors.Is(cause, errCallerGone) || s.x.Context().Err() != nil && !s.x.Writer.Started() {
+	if errors.Is(cause, errCallerDisconnected) || s.x.Context().Err() != nil && !s.x.Writer.Started() {
 		s.p.metrics.CallerDisconnects.Add(1)
 		return &failure{cause: cause, responseStarted: s.x.Writer.Started()}
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -43,8 +43,8 @@
 	return engine.Order{}, false
 }
 
-// Settled reports whether an engine's models match the table and no order is outstanding.
-func Settled(row *table.Upstream, state engine.OrderState) bool {
+// Converged reports whether an engine's models match the table and no order is outstanding.
+func Converged(row *table.Upstream, state engine.OrderState) bool {
 	_, missing := firstMissing(row.Serves, state.Models)
 	_, extra := firstMissing(state.Models, row.Serves)
 	return state.Outstanding == "" && !missing && (!extra || row.Draining)
--- a/internal/prompt/prompt.go
+++ b/internal/prompt/prompt.go
@@ -1,5 +1,5 @@
 // Package prompt describes prompts by the parts that callers name, and the messages in which boxes
-// tell each other which engines have parts cached.
+// announce to each other which engines have parts cached.
 package prompt
 
 import "dooryard.example/dooryard/internal/namekey"
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -164,10 +164,10 @@
 	return before > 0 && l.remainingMs(known) == 0
 }
 
-// RecordEvents merges events received from another box. If passOn is set, crashes are relayed even
+// RecordEvents merges events received from another box. If relay is set, crashes are relayed even
 // below minRelayedCrashes, as needed in a fleet that is too large for each box to reach all others.
 // It returns the fingerprints whose quarantine was started by the events.
-func (l *Ledger) RecordEvents(list []CrashEvent, passOn bool) (quarantined []Fingerprint) {
+func (l *Ledger) RecordEvents(list []CrashEvent, relay bool) (quarantined []Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now, retention := l.monotonic(), l.settings().retentionMs()
@@ -177,7 +177,7 @@
 		case e.AgeMs >= retention:
 		case e.Answered:
 			l.clearAnswered(e.Fingerprint, at)
-		case l.record(e.Fingerprint, e.Upstream, at, passOn):
+		case l.record(e.Fingerprint, e.Upstream, at, relay):
 			quarantined = append(quarantined, e.Fingerprint)
 		}
 	}
