--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -15,8 +15,8 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// The tests of this file guard against requests to upstreams that have asked for a backoff, in which they want no
-// requests from the box. Five of twelve engines refused everything and asked each box for a backoff of several seconds,
+// The tests of this file guard against requests to upstreams that have asked the box for a backoff, that is to send no
+// requests for some time. Five of twelve engines refused everything and asked each box for a backoff of several seconds,
 // but the boxes continued to send there: callers were refused for eight seconds, in some seconds more than a tenth of
 // them, although most engines of the pool had capacity.
 //
@@ -27,8 +27,9 @@
 // Log lines of refused attempts include the requested backoff.
 
 const (
-	// reactionMs is how long after its response an upstream's signals may still be unprocessed, and
-	// maxSendsPerRest how many requests may reach it in the remaining backoff. Operators set these bounds.
+	// reactionMs is how long after a response the box may still not have processed the upstream's signals in it.
+	// maxSendsPerBackoff is how many requests may reach the upstream in the remaining backoff. Operators set these
+	// bounds.
 	reactionMs         clock.Millis = 500
 	maxSendsPerBackoff int          = 2
 	// drainBoundMs is how long after an upstream announced that it is draining requests may still be sent to it.
--- a/internal/gateway/box.go
+++ b/internal/gateway/box.go
@@ -168,15 +168,17 @@
 // because the windows in which boxes count retries are not aligned.
 const localBudgetShare = 0.8
 
-// sustainedShare is the part of that share that is available continuously. The rest is saved for bursts, up to what
-// the requests of one window allow. On a day with 87 boxes and 45 of 112 engines crashed, the split raised the value
-// score by 0.0032; on another day it changed nothing (one paired run each).
+// sustainedShare is the part of localBudgetShare that retries may use continuously. The rest accumulates for bursts, up
+// to the amount that the requests of one window add. On a day with 87 boxes on which 45 of 112 engines crashed, this
+// split raised the value score by 0.0032; on another day it changed nothing (one paired run each).
 const sustainedShare = 0.6
 
-// retryReserve returns this box's part of the slack until the number of boxes that share it is known.
+// retryReserve returns the part of the fleet's retry slack that this box may use until it knows how many boxes share
+// the slack.
 func retryReserve(slack int) int { return max(1, slack/assumedBoxes) }
 
-// assumedBoxes is larger than the number of boxes in a small fleet.
+// assumedBoxes is the number of boxes that is assumed until the real one is known. It is larger than the number of
+// boxes in a small fleet.
 const assumedBoxes = 12
 
 func (b *Box) connect(address string) *upstream.Client {
@@ -190,8 +192,8 @@
 func (b *Box) maxAgeMs() clock.Millis { return clock.Millis(b.settings.Load().Freshness.MaxAgeMs) }
 
 // stateMayBeOutdated reports whether the routing state was last confirmed so long ago that the box may have missed
-// a version. The box then can't decide that a route or a key does not exist: callers treat 401 and 404 as final
-// and would not retry (TestFreshness).
+// a newer version. The box must then not respond with 401 or 404 because of a key or route that it does not know:
+// callers treat these as final and would not retry (TestFreshness).
 func (b *Box) stateMayBeOutdated() bool {
 	return b.routingState.AgeMs() > clock.Millis(b.settings.Load().Freshness.MaxPropagationMs)
 }
@@ -207,7 +209,8 @@
 
 const (
 	mebibyte = 1 << 20
-	// bodyDiv is the divisor of the total memory. The rest is left to connections and other buffers.
+	// bodyDiv is the divisor of the configured memory that yields the part for request bodies. The rest is left to
+	// connections and other buffers.
 	bodyDiv = 4
 )
 
--- a/internal/gateway/crash_detector.go
+++ b/internal/gateway/crash_detector.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// observationQueueSize is the length of the observation queue: more than the requests that one upstream runs for
-	// a box. Observations that do not fit are dropped.
+	// observationQueueSize is the length of the observation queue. It exceeds the number of requests that one upstream
+	// runs for a box, so the queue can hold all observations of one crash. Observations that do not fit are dropped.
 	observationQueueSize = 256
-	// maxSuspectsPerUpstream bounds the suspects of one upstream for the same reason.
+	// maxSuspectsPerUpstream is the maximum number of suspects kept for one upstream. It also exceeds the number of
+	// requests that one upstream runs for a box.
 	maxSuspectsPerUpstream = 256
 	// breakSettleMs is how long a box waits for all connections to a crashed upstream to break. In the logs of six
 	// boxes they broke within 2 ms.
@@ -28,8 +29,8 @@
 	// abandonedProbeDelayMs is the delay between abandoning a request and probing whether the upstream crashed while
 	// running it. Upstreams crashed 3 ms to 65 ms after they had started to run such a request.
 	abandonedProbeDelayMs clock.Millis = 100
-	// maxAbandonedAgeMs is how long before the detection of a crash a request may have been abandoned to be attributed
-	// to it, whether a probe or another request detected the crash.
+	// maxAbandonedAgeMs is the maximum time between abandoning a request and detecting a crash for the crash to be
+	// attributed to that request. It applies whether a probe or another request detected the crash.
 	maxAbandonedAgeMs = clock.Second
 )
 
@@ -51,7 +52,7 @@
 
 // crashDetector detects upstreams that crashed while they ran requests. If the host refuses new connections right after
 // some broke, the upstream has crashed. If the host does not respond, the crash is detected when the upstream's
-// registry entry disappears. After a mere connection reset, new connections open.
+// registry entry disappears. If new connections open, the broken ones were only reset and the upstream has not crashed.
 type crashDetector struct {
 	box      *Box
 	observed chan dispatch.Observation
@@ -121,7 +122,7 @@
 		wait = abandonedProbeDelayMs
 	}
 	for again := true; again; {
-		// If the context ends, the connection fails.
+		// The error is ignored because the probe below fails too if the context has ended.
 		_ = d.box.clock.Sleep(ctx, wait)
 		startMs := d.box.clock.Monotonic()
 		found := member.Client().ProbeLiveness(ctx)
@@ -132,10 +133,11 @@
 	}
 }
 
-// handleProbeResult processes the result of a probe. An upstream that is alive was not crashed by the requests whose
-// connections broke before the probe. An upstream that does not respond may have been crashed by the requests that
-// were abandoned because it did not respond. handleProbeResult reports whether more connections have broken since, so
-// that the upstream must be probed again.
+// handleProbeResult processes the result of a probe that started at startMs. If the upstream is alive, the requests
+// whose connections broke before the probe did not crash it and are removed from the suspects. If the upstream does not
+// respond, requests may have been abandoned because it had already stopped responding, so any abandoned request may
+// have crashed it, and all are treated like requests whose connections broke. handleProbeResult reports whether more
+// connections have broken since the start of the probe, so that the upstream must be probed again.
 func (d *crashDetector) handleProbeResult(id string, found upstream.Liveness, startMs clock.Millis) (again bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -169,8 +171,8 @@
 	}
 }
 
-// handleCrash processes the crash of all incarnations of an upstream except its successor, or of all if successor is
-// empty. recent is set if the upstream crashed a short time ago.
+// handleCrash processes the crash of an upstream. It applies to all incarnations of the upstream except successor, the
+// one that replaced them, or to all if successor is empty. recent is set if the upstream crashed a short time ago.
 func (d *crashDetector) handleCrash(id, successor string, recent bool) {
 	list := d.removeSuspects(id, successor, recent)
 	if len(list) == 0 {
@@ -191,9 +193,9 @@
 	}
 }
 
-// removeSuspects removes and returns the suspects of all incarnations of an upstream except its successor. Of the
-// abandoned requests it returns only those of the last maxAbandonedAgeMs, and only if the crash is recent; the others
-// are kept while a probe runs, and dropped otherwise.
+// removeSuspects removes and returns the suspects of all incarnations of an upstream except successor, whose suspects
+// are kept. Of the abandoned requests it returns only those of the last maxAbandonedAgeMs, and only if the crash is
+// recent. It keeps the other abandoned requests while a probe runs, and drops them otherwise.
 func (d *crashDetector) removeSuspects(id, successor string, recent bool) []suspect {
 	now := d.box.clock.Monotonic()
 	d.mu.Lock()
@@ -210,7 +212,7 @@
 		case !s.abandoned || recent && now-s.atMs <= maxAbandonedAgeMs:
 			taken = append(taken, s)
 		case entry.probing:
-			// The running probe decides whether the host responds.
+			// The running probe will show whether the host responds.
 			kept = append(kept, s)
 		}
 	}
@@ -218,7 +220,8 @@
 	return taken
 }
 
-// handleCompleted processes a complete response to a request with this fingerprint.
+// handleCompleted processes a complete response to a request with this fingerprint. If this ends a quarantine, it logs
+// the release.
 func (d *crashDetector) handleCompleted(fingerprint quarantine.Fingerprint) {
 	if d.box.quarantine.RecordAnswer(fingerprint) {
 		d.box.log.Record(decision.Quarantined{Fingerprint: fingerprint.String(), Source: "this box"})
--- a/internal/gateway/fatal_histories_test.go
+++ b/internal/gateway/fatal_histories_test.go
@@ -118,8 +118,8 @@
 	}
 	count := 0
 	for _, at := range h.sendsMs[body] {
-		// A crash that closes no connection is detected when the entry disappears, up to 3.5 s later. Each of the three
-		// may be of that kind.
+		// A crash that closes no connection is detected when the upstream's entry disappears, up to 3.5 s later. Each
+		// of the three crashes may be of that kind.
 		if at > h.crashesMs[body][third]+detectionBoundMs+4*clock.Second {
 			count++
 		}
--- a/internal/gateway/ignored_inputs.go
+++ b/internal/gateway/ignored_inputs.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// relogIntervalMs is the minimum time between two log lines about the same invalid input. Its writer may write it
-	// many times a second.
+	// relogIntervalMs is the minimum time between two log lines about the same invalid input, because the same input
+	// may be written many times a second.
 	relogIntervalMs = 10 * clock.Second
-	// maxTrackedInputs bounds the inputs that are tracked. When it is reached all are dropped, so that their next
-	// errors are logged again.
+	// maxTrackedInputs is the maximum number of inputs that are tracked. When it is reached, all tracked inputs are
+	// dropped, so the next error of each is logged again.
 	maxTrackedInputs = 256
 )
 
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -22,13 +22,15 @@
 	defaultMaxDrainNoticeMs = 2000
 	// defaultLoadCap is a common limit on an upstream's load, as a multiple of the mean load.
 	defaultLoadCap = 2
-	// boundShareOfCap is the share of the cap at which a box stops sending to an upstream. The rest covers load that
-	// boxes don't know of each other yet. With 0.825 and one request of slack less, a tenth of all prompts moved to
-	// another engine and were prefilled again or transferred needlessly.
+	// boundShareOfCap is the share of the load cap at which a box stops sending to an upstream. The rest of the cap is
+	// left for requests of other boxes that this box does not know of yet. With a share of 0.825 and a bound that
+	// allowed one request less, a tenth of all prompts moved to another engine and were prefilled again or transferred
+	// needlessly.
 	boundShareOfCap    = 0.9
 	defaultEjectBaseMs = 1000
 	defaultEjectMaxMs  = 8000
-	// defaultPanicPercent lets a box that is partitioned from all other failure domains use only its own.
+	// defaultPanicPercent is the maximum percentage of a pool that may be ejected. It is so high that a box that is
+	// partitioned from all other failure domains can eject their upstreams and use only those of its own domain.
 	defaultPanicPercent = 85
 	defaultMaxLines     = 400
 	defaultMemoryMb     = 256
@@ -36,7 +38,8 @@
 	defaultRatio        = 0.2
 	defaultSlack        = 50
 	defaultWindowS      = 10
-	// defaultMinCrashes is how many upstreams operators let one request crash.
+	// defaultMinCrashes is the number of upstreams that operators accept to lose to one request before it is
+	// quarantined.
 	defaultMinCrashes = 3
 	// defaultHoldMs is long compared to the seconds in which an upstream restarts, and short compared to the days
 	// in which its software is fixed.
--- a/internal/gateway/notes_sync.go
+++ b/internal/gateway/notes_sync.go
@@ -24,18 +24,20 @@
 }
 
 const (
-	// noteSyncIntervalMs is how often a box checks for fingerprints to note. It is short compared to the time
-	// between a crash and a possible kill of all boxes.
+	// noteSyncIntervalMs is how often a box checks for fingerprints to write notes about. It is short compared to the
+	// time between a crash and a possible kill of all boxes.
 	noteSyncIntervalMs clock.Millis = 250
 	// noteRereadIntervalMs is how often a box that reads the store for others rereads the notes while a known box is
-	// unreachable: a request may crash upstreams on both sides of a partition.
+	// unreachable. A request may crash upstreams on both sides of a partition, and the boxes of the other side can
+	// report their crashes only through notes.
 	noteRereadIntervalMs clock.Millis = 2500
 	// minNotesRetryMs and maxNotesRetryMs bound the exponential backoff after failed calls. Each failed call is
 	// charged for. The maximum is shorter than the time within which boxes must act on what the store has returned.
 	minNotesRetryMs clock.Millis = 500
 	maxNotesRetryMs clock.Millis = 2000
-	// minNotedCrashes is the number of crashed upstreams from which a request is noted while a box is unreachable.
-	// Requests that merely ran next to the cause of a crash are rarely involved in a second one.
+	// minNotedCrashes is the minimum number of upstreams that crashed while running a request for a note about the
+	// request to be written while a box is unreachable. Harmless requests that ran on an upstream when another request
+	// crashed it are rarely involved in a second crash.
 	minNotedCrashes = 2
 )
 
@@ -130,7 +132,8 @@
 func (n *noteSyncer) readIfDue(ctx context.Context) error {
 	now := n.box.clock.Monotonic()
 	if n.read && n.notes.Era() != n.era {
-		// Notes written after the store's snapshot was taken are written again.
+		// The store was restored from a snapshot and may lack the notes written after it was taken. All notes are
+		// read again, and missing ones are written again.
 		n.read = false
 		clear(n.written)
 	}
--- a/internal/gateway/pause_detector.go
+++ b/internal/gateway/pause_detector.go
@@ -15,9 +15,9 @@
 	// maxRefreshWaitMs is the maximum time for which requests wait for the box to refresh its state after a pause, if
 	// the last confirmation is too old. It covers a few gossip rounds and a read of the store, with a margin. If the
 	// refresh does not succeed within this time, requests are processed in the same way as while the store is
-	// unavailable. Until the refresh, the box asks its peers every 50 ms instead of once per round: on a day on
-	// which all boxes were stopped for 2.5 s, the worst windows reached 0.54 of their maximum score, compared to 0.23
-	// with one query per round (one paired run).
+	// unavailable. Until the refresh, the box pings its peers every 50 ms (pathCheckIntervalMs) instead of once per
+	// gossip round. On a day on which all boxes were stopped for 2.5 s, the time windows with the lowest scores reached
+	// 0.54 of their maximum score this way, compared to 0.23 with one ping per round (one paired run).
 	maxRefreshWaitMs clock.Millis = 400
 	// refreshPollMs is how often a waiting request checks for the refresh.
 	refreshPollMs clock.Millis = 20
@@ -39,8 +39,8 @@
 }
 
 // check detects a pause since the last check and corrects everything that measures time: overdue timers fire, and the
-// silence of other boxes during the pause is not counted against them. Shorter delays are not corrected: on a machine
-// that is slow all the time, boxes that have left would otherwise never expire (TestSlowBox).
+// time of the pause does not count as silence of the other boxes. Delays up to pauseThresholdMs are not corrected,
+// since boxes that have left would otherwise never expire on a machine that is slow all the time (TestSlowBox).
 func (p *pauseDetector) check() {
 	now := p.box.clock.Monotonic()
 	pause := now - clock.Millis(p.lastCheckMs.Swap(int64(now)))
--- a/internal/gateway/peering.go
+++ b/internal/gateway/peering.go
@@ -20,10 +20,11 @@
 // rounds.
 const peerStateQueueSize = 64
 
-// directReadAgeMs returns the age of the confirmation above which a box reads the store directly. Boxes that read for
-// others don't learn of draining upstreams while their reads get no response, so the age leaves time for a direct read.
-// It is never below the age that a confirmation normally reaches: a reader confirms its state once per poll and is
-// pinged once per gossip period, and one reply may be lost.
+// directReadAgeMs returns the age of the last confirmation above which a box reads the store directly. While the store
+// does not respond to the box that reads it for others, neither that box nor the others learn of draining upstreams.
+// The returned age is therefore low enough that a direct read still completes within the operators' bounds. It is never
+// below the age that a confirmation normally reaches: the reading box confirms its state once per poll and is pinged
+// once per gossip period, and one reply may be lost.
 func (p *peering) directReadAgeMs() clock.Millis {
 	settings := p.box.Settings()
 	return timingOf(settings).directReadAgeMs(settings, p.mesh.Period())
@@ -104,7 +105,8 @@
 	}
 }
 
-// applyPeerState fetches newer state from another box. A confirmation counts from the time of the ping that it answers.
+// applyPeerState processes the state summary of another box: it fetches the state if that of the other box is newer,
+// and records the confirmation. The age in the summary is counted back from the time at which this box sent the ping.
 func (p *peering) applyPeerState(ctx context.Context, a mesh.PeerState) {
 	local := p.box.stateSummary()
 	if local.Position.IsZero() && p.inInitialRead() {
@@ -127,8 +129,8 @@
 	}
 }
 
-// initialReadMs is how long a box that has just started fetches nothing from other boxes while it reads everything
-// from its store, whose link has more bandwidth.
+// initialReadMs is how long after its start a box without upstreams fetches nothing from other boxes, because it is
+// reading the complete state from the store, to which its link has more bandwidth.
 const initialReadMs clock.Millis = 500
 
 // inInitialRead reports whether the box may still be in its first read of the store, which has not failed.
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -6,8 +6,9 @@
 	"dooryard.example/dooryard/internal/opaque"
 )
 
-// handleSignals processes what an upstream reports about itself in response headers: its load, that it asks this box
-// for a backoff without requests, or that it is draining. It logs the start of a backoff, and draining once.
+// handleSignals processes what an upstream reports about itself in response headers: its load, a request that this box
+// back off (send it nothing for some time), or that it is draining. It logs the start of each backoff, and logs
+// draining only once.
 func (b *Box) handleSignals(request string, lease *balance.Lease, signals opaque.Signals) {
 	if signals.HasLoad {
 		lease.RecordLoad(signals.InFlight)
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -12,7 +12,8 @@
 
 // Sink receives what a source of routing state reads. Durations and instants are those of the monotonic clock.
 type Sink struct {
-	// ShouldRead reports whether the source should read a stream now. It need not if other boxes read for this one.
+	// ShouldRead reports whether the source should read a stream now. A read is not needed while other boxes read for
+	// this one.
 	ShouldRead func(stream string) bool
 	// RelaysReads reports whether other boxes depend on what the source reads.
 	RelaysReads func() bool
@@ -35,8 +36,8 @@
 	ReportInvalidInput func(input string, err error)
 }
 
-// recoveryGraceMs is how long after the recovery of a store entries may still expire only because it was unavailable:
-// upstreams rewrite theirs within two seconds.
+// recoveryGraceMs is how long after the recovery of a store the entries of running upstreams may still be missing
+// because the store was unavailable. Upstreams rewrite their entries within two seconds.
 const recoveryGraceMs clock.Millis = 2300
 
 // storeSink applies what a source reads from the store.
@@ -100,7 +101,7 @@
 			return false
 		}
 	}
-	// A box whose reads were refused retries from time to time, even if it needs nothing.
+	// A box whose last read failed retries from time to time, even if it needs nothing.
 	_, unavailable := s.unavailableSince[stream]
 	return needed || unavailable && s.box.clock.Monotonic()-s.lastFailureMs >= unavailableStoreRetryMs
 }
@@ -151,7 +152,7 @@
 	return max(0, min(removalGraceMs, recoveredMs+recoveryGraceMs-s.box.clock.Monotonic()))
 }
 
-// reportRead records and logs when a stream becomes unavailable and available again of the store.
+// reportRead records the result of a read, and logs when a stream of the store becomes unavailable or available again.
 func (s *storeSink) reportRead(stream string, err error) {
 	now := s.box.clock.Monotonic()
 	s.mu.Lock()
@@ -189,7 +190,8 @@
 	b.peering.mesh.Broadcast()
 }
 
-// announceUpstreams logs effective changes of the upstreams and notifies the other boxes.
+// announceUpstreams logs changes of the upstreams that were applied, passes them to the crash detector and notifies the
+// other boxes.
 func (b *Box) announceUpstreams(changes []registry.Change, source string) {
 	for _, c := range changes {
 		b.log.Record(decision.UpstreamChanged{
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -22,8 +22,8 @@
 
 // The tests of this file guard against decisions on stale state after a machine was suspended for seconds. If the clock
 // and its timers do not count the suspension, confirmations of keys and versions look recent, deadlines look distant
-// and other boxes look gone, and requests are sent on decisions from before. In these tests a suspension advances the
-// boxes' clock at once, while the timers on the fake clock keep waiting.
+// and other boxes look gone, and requests are sent because of decisions made before the suspension. In these tests a
+// suspension advances the boxes' clock at once, while the timers on the fake clock keep waiting.
 
 // suspendedMs is the length of the suspension.
 const suspendedMs = 10 * clock.Second
--- a/internal/gateway/timing.go
+++ b/internal/gateway/timing.go
@@ -7,11 +7,11 @@
 
 // Delays that must fit into the operators' bounds.
 const (
-	// directReadMarginMs is by how much the age of a confirmation must at least exceed its usual age before a box
-	// reads the store directly. It is about the transit time of one answer.
+	// directReadMarginMs is the minimum by which the age of a confirmation must exceed its usual maximum before a box
+	// reads the store directly. It is about the transit time of one response.
 	directReadMarginMs clock.Millis = 100
-	// directReadLeadMs is how long a box needs to notice the age, read the store and apply the result if the store is
-	// about ten times slower than usual.
+	// directReadLeadMs is the time that a box needs to notice that its confirmation is too old, read the store and apply
+	// the result, if the store is about ten times slower than usual.
 	directReadLeadMs clock.Millis = 400
 	// removalLeadMs is the maximum delay between the removal of an entry and its receipt by a box: changes are batched
 	// for 0.25 s before the store is read again.
@@ -20,11 +20,12 @@
 
 // Limits of the values that are derived from the operators' bounds.
 const (
-	// maxPeriodMs is the gossip period, unless the bounds require a shorter one. With this period, the loads that boxes
-	// exchange are about as recent, including a round trip, as the ones that upstreams report themselves.
+	// maxPeriodMs is the gossip period, unless the bounds require a shorter one. With this period and a round trip, the
+	// loads that boxes exchange are about as recent as those that upstreams report themselves.
 	maxPeriodMs clock.Millis = 250
-	// periodsInSlack is the number of gossip periods that fit into the age at which a box reads the store directly. Two
-	// rounds pass before the box has asked its reader again, and the wait of a read is longer than that.
+	// periodsInSlack is the minimum number of gossip periods that fit into the age at which a box reads the store
+	// directly. Two periods pass before the box has pinged the box that reads for it again, and the wait of a
+	// long-polling read is longer than two periods.
 	periodsInSlack = 6
 	// maxPollMs is the longest wait of a long-polling read. Longer waits save reads of the few boxes that read for
 	// others, but delay confirmations so much that all boxes read directly whenever a large version is in transit: a
@@ -36,7 +37,7 @@
 	// maxAnnounceMs is how long the front load balancer may take to see two failed readiness checks and stop sending
 	// new connections.
 	maxAnnounceMs clock.Millis = 2600
-	// announceDivisor limits the announcement to this fraction of the grace period.
+	// announceDivisor limits announceMs to the grace period divided by this number.
 	announceDivisor = 2
 )
 
@@ -53,8 +54,9 @@
 	announceMs clock.Millis
 }
 
-// timingOf derives the timing from settings with defaults applied. With fixed intervals and bounds of 1 s instead of
-// 2 s, boxes sent requests to upstreams up to 1.5 s after those had announced that they are draining.
+// timingOf derives the timing from settings with defaults applied. The intervals depend on the bounds: with fixed
+// intervals and bounds of 1 s instead of 2 s, boxes sent requests to upstreams up to 1.5 s after these had announced
+// that they are draining.
 func timingOf(g config.Gateway) timing {
 	leave := clock.Millis(g.Freshness.MaxDrainNoticeMs)
 	slack := max(0, min(leave, clock.Millis(g.Freshness.MaxPropagationMs))-directReadLeadMs)
--- a/internal/gateway/timing_test.go
+++ b/internal/gateway/timing_test.go
@@ -53,9 +53,10 @@
 	})
 }
 
-// TestDrainBounds guards against requests to an upstream later than the operators allow. In one case its entry
-// disappears right after the store was unavailable, when entries of running upstreams may be missing, too. In the other
-// it starts draining while the store does not respond to the box that reads it for the failure domain.
+// TestDrainBounds guards against requests that are sent to a draining or removed upstream later than the operators
+// allow. In one case its entry disappears right after the store was unavailable, when entries of running upstreams may
+// also be missing. In the other it starts draining while the store does not respond to the box that reads the store for
+// the failure domain.
 func TestDrainBounds(t *testing.T) {
 	for _, maxDrainNoticeMs := range []int64{1000, 2000} {
 		bound := func(g *config.Gateway) { g.Freshness.MaxDrainNoticeMs, g.Freshness.MaxAgeMs = maxDrainNoticeMs, 0 }
--- a/internal/quarantine/event_log.go
+++ b/internal/quarantine/event_log.go
@@ -33,7 +33,8 @@
 }
 
 // since returns at most limit events from a sequence number on, with their ages, and the sequence
-// number to continue from. A sequence number outside the log's range selects all events.
+// number to continue from. If the sequence number is outside the log's range, it starts at the
+// oldest event.
 func (l *eventLog) since(from int64, limit int, now clock.Millis) ([]CrashEvent, int64) {
 	oldest := l.nextSeq - int64(len(l.events))
 	if from < oldest || from > l.nextSeq {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -28,7 +28,7 @@
 type CrashEvent struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint Fingerprint
-	// Upstream is the incarnation that crashed.
+	// Upstream is the incarnation that crashed. It is not set if Answered is.
 	Upstream namekey.Key
 	// Answered is set if an upstream answered the request completely.
 	Answered bool
@@ -44,9 +44,10 @@
 	maxFingerprints = 4096
 	// retentionHolds is how long crashes are kept, as a multiple of the hold time.
 	retentionHolds = 2
-	// answeredGraceMs is how long after an answer to a fingerprint no crash is attributed to it. A
-	// request that crashes upstreams is never answered. A request that callers repeat often, such as a
-	// status poll, is running whenever an upstream crashes, and must not be quarantined for that.
+	// answeredGraceMs is how long after an upstream answered a request no crash is attributed to its
+	// fingerprint. A request that crashes upstreams is never answered. A request that callers repeat
+	// often, such as a status poll, runs on nearly every upstream that crashes, and must not be
+	// quarantined for that.
 	answeredGraceMs = 60 * clock.Second
 )
 
@@ -99,7 +100,7 @@
 }
 
 // record records a crash, and reports whether this starts a quarantine. If publish is set, the crash is
-// added to this box's event log at once.
+// added to this box's event log at once, and otherwise once the fingerprint has minRelayedCrashes.
 func (l *Ledger) record(fingerprint Fingerprint, upstream namekey.Key, at clock.Millis, publish bool) (started bool) {
 	if l.answered.seenAfter(fingerprint, at-answeredGraceMs) {
 		return false
--- a/internal/quarantine/recent.go
+++ b/internal/quarantine/recent.go
@@ -2,11 +2,12 @@
 
 import "dooryard.example/dooryard/internal/clock"
 
-// maxGenerationSize limits the number of fingerprints in one generation. It holds those of the last
-// minute at 40 answered requests per second.
+// maxGenerationSize limits the number of fingerprints in one generation. At 40 answered requests per
+// second, a generation holds the fingerprints of one minute.
 const maxGenerationSize = 2400
 
-// recent records when fingerprints were last seen. It keeps the most recent ones in two generations.
+// recent records when fingerprints were last seen. It keeps them in two generations: when the current
+// one is full it becomes the previous one, and the older previous one is dropped.
 type recent struct {
 	current, previous map[Fingerprint]clock.Millis
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -39,8 +39,8 @@
 
 // Timeouts and limits of a client.
 const (
-	// connectTimeoutMs is the time of about fifty round trips between failure domains, and too short
-	// for callers to notice.
+	// connectTimeoutMs is the timeout for opening a connection. It lasts about fifty round trips
+	// between failure domains, and is too short for callers to notice.
 	connectTimeoutMs = 200
 	// unackedTimeoutMs is how long sent bytes may remain unacknowledged. It tolerates the loss of
 	// two consecutive packets.
@@ -92,7 +92,7 @@
 	return c
 }
 
-// systemDial opens connections that time out when the peer stops acknowledging data, because a box
+// systemDial opens connections that time out when the peer stops acknowledging data, because a peer
 // that lost power or is behind a network partition never closes them.
 func systemDial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// receive reads the header of the response. It skips interim (1xx) responses and, on a reused
-// connection, surplus responses to earlier requests.
+// receive reads the header of the response. It skips interim (1xx) responses except 101, and at most
+// maxMismatched responses to other requests, which a reused connection may still deliver.
 func (rt *roundTrip) receive() (*Response, error) {
 	mismatched := 0
 	for {
