--- a/internal/grant/directory.go
+++ b/internal/grant/directory.go
@@ -1,7 +1,7 @@
 package grant
 
-// Session is the short hash of a session in messages. A collision of two sessions costs at most
-// cache hits.
+// Session is the short hash of a session in messages. If two sessions have the same hash,
+// requests may miss the prefix cache, which is the only effect.
 type Session uint32
 
 // generationSize is the number of sessions in one generation of a directory.
--- a/internal/grant/ledger.go
+++ b/internal/grant/ledger.go
@@ -1,6 +1,5 @@
 // Package grant assigns each engine an owner among the boxes of a failure domain. The owner, which
 // rendezvous hashing selects, counts the requests in flight on the engine from all boxes and
-// rendezvous hashing selects, counts the requests in flight on the engine from all boxes and
 // remembers where sessions have cached prefixes. A box asks the owner for a slot before it sends a
 // request and reports when the slot is free again. The load bound therefore holds although each box
 // sees only a small part of the traffic and load reports lag. If the owner does not answer, the box
@@ -146,8 +145,8 @@
 
 // mean returns an upstream's part of the pool's estimated load. The estimate sums the totals of the
 // boxes that asked recently and assumes the median of those for each other box. Boxes without a
-// recent total tend to have little traffic, and the mean would let one busy box raise the estimate
-// for all of them.
+// recent total tend to have little traffic, and if the mean were assumed instead of the median, one
+// busy box would raise the estimate for all of them.
 func (l *Ledger) mean(s MemberState, now clock.Millis) float64 {
 	reported := l.reported[:0]
 	sum := 0
--- a/internal/grant/search.go
+++ b/internal/grant/search.go
@@ -146,7 +146,7 @@
 	return true
 }
 
-// LeastLoaded returns the denied member that is the least above its bound, for use when all members are
+// LeastLoaded returns the denied member that exceeds its bound by the least, for use when all members are
 // above it.
 func (s *Search) LeastLoaded() (MemberID, bool) {
 	if len(s.denied) == 0 {
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -313,8 +313,9 @@
 	return []Outgoing{{Address: address, Body: body}}
 }
 
-// nextFacts returns the facts to send. Every other ping carries this box's facts and acks carry
-// those of other boxes. The number of facts grows with the failure domain.
+// nextFacts returns the facts to send. Every other ping carries this box's facts, and acks carry
+// those of other boxes. From boxesPerFact boxes on, each ping and each ack carries the facts of one
+// more box, up to maxFacts in an ack.
 func (n *Node) nextFacts(k kind) []factEntry {
 	others := min(maxFacts, 1+n.size()/boxesPerFact)
 	if k == kindPing {
--- a/internal/membership/spread.go
+++ b/internal/membership/spread.go
@@ -47,7 +47,7 @@
 	// sendOrder lists the entries for round-robin sending. The entry that was sent longest ago
 	// comes first.
 	sendOrder []ID
-	// newest is the entry that was received last and has not been sent since.
+	// newest is the entry that was received last since the latest call of next, or 0 if there is none.
 	newest ID
 	own    factEntry
 }
@@ -69,7 +69,8 @@
 }
 
 // add stores an entry that is newer than the known one. The entry that was received last is sent
-// next and the others in round-robin order, so that new facts spread fast and none is left out.
+// next if the packet may carry more than one entry of other boxes. The others are sent in
+// round-robin order. New facts therefore spread fast and none is left out.
 func (b *factStore) add(entry factEntry, now clock.Millis) {
 	known, found := b.entries[entry.ID]
 	if found && int32(entry.Version-known.Version) <= 0 {
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -15,7 +15,7 @@
 // ErrMalformed is returned for a packet that can't be decoded or fails validation.
 var ErrMalformed = errors.New("malformed packet")
 
-// ID is the short hash of a name that identifies a box on the wire.
+// ID is the short hash of a name that identifies a box or a failure domain on the wire.
 type ID uint32
 
 // NewID returns the ID for a name.
@@ -122,7 +122,7 @@
 // OrganisationID returns the short hash that identifies an organisation on the wire.
 func OrganisationID(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// factEntry is the versioned facts of one box.
+// factEntry holds the versioned facts of one box, or the summed facts of a failure domain.
 type factEntry struct {
 	_       struct{} `cbor:",toarray"`
 	ID      ID
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -18,8 +18,8 @@
 // Timing of gossip rounds and liveness.
 const (
 	// largePeriodMs is the period between rounds in a fleet of more than largeFleetBoxes boxes.
-	// There a box may spend 3 KB a second on control traffic, which allows a ping and a reply of
-	// 180 bytes each, exchanged with four boxes.
+	// In such a fleet a box may spend 3 KB a second on control traffic. This allows it to exchange a
+	// ping and a reply of 180 bytes each with four boxes.
 	largePeriodMs clock.Millis = 1000
 	// forgetAfterMs is the minimum time for which the address of an unresponsive box is kept. It is
 	// long enough for a network partition to heal.
@@ -205,7 +205,7 @@
 	}
 }
 
-// fillSender completes the sender fields that a reply omits, and reports whether the sender is
+// fillSender sets the sender fields that a reply omits from the known peer, and reports whether the sender is
 // known. Pings carry the full sender, so an unknown sender becomes known with its next ping.
 func (m *Mesh) fillSender(p *packet) bool {
 	if p.From.Address != "" {
@@ -250,7 +250,8 @@
 	defer m.mu.Unlock()
 	p.Draining = m.draining
 	if m.largeLocked() {
-		// A message of each box arrives only once in minutes, so loads by upstream would be outdated.
+		// In a large fleet, minutes pass between two messages from the same box, so loads by upstream
+		// would be outdated.
 		p.InFlight, p.InFlightByPool = nil, m.inFlightByPool()
 	}
 	return p
--- a/internal/mesh/packet.go
+++ b/internal/mesh/packet.go
@@ -1,6 +1,6 @@
 // Package mesh implements the gossip protocol between the boxes of a fleet. Boxes exchange small
 // datagrams with their liveness, their requests in flight and the freshness of their routing state.
-// No part depends on every box hearing from every other one.
+// The protocol does not depend on every box receiving messages from every other one.
 package mesh
 
 import (
@@ -85,8 +85,8 @@
 	InFlightByPool map[namekey.Key]int `cbor:"12,keyasint,omitempty"`
 }
 
-// maxPacketBytes is the size of the receive buffer. The limits on cached parts, crashes and named
-// boxes keep most datagrams small enough not to be fragmented on common links.
+// maxPacketBytes is the size of the receive buffer. The limits on cached parts, crash reports and
+// named boxes keep most datagrams small enough not to be fragmented on common links.
 const maxPacketBytes = 8 << 10
 
 func (p *packet) encode() ([]byte, error) {
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -56,7 +56,7 @@
 	m.peers[p.From.Box] = updated
 	for _, other := range p.Known {
 		if other.Box != m.self.Box && m.peers[other.Box] == nil {
-			// A box that was only named counts as alive once it sends a message itself.
+			// A box that another box named counts as alive once it sends a message itself.
 			m.peers[other.Box] = &peer{Identity: other, lastSeenMs: now}
 		}
 	}
@@ -99,7 +99,7 @@
 }
 
 // uncoveredDomainPeersLocked returns one box of each failure domain that has no box among the
-// targets, so that each domain shows in each round whether it is alive.
+// targets, so that each round checks whether each domain is alive.
 func (m *Mesh) uncoveredDomainPeersLocked(now clock.Millis, targets []target) []*peer {
 	covered := map[string]bool{}
 	for _, t := range targets {
@@ -150,8 +150,8 @@
 	}
 }
 
-// nextPeerLocked returns the next box to ping. Each box is pinged once per cycle, in an order that
-// this box shuffles anew.
+// nextPeerLocked returns the next box to ping. Each box is pinged once per cycle, in a random order
+// that changes with each cycle.
 func (m *Mesh) nextPeerLocked() *peer {
 	if len(m.toPing) == 0 {
 		m.toPing = slices.Sorted(maps.Keys(m.peers))
@@ -259,7 +259,8 @@
 }
 
 // Windows over which reported request counts are averaged. About forty boxes report within the
-// longer window and a dozen within the shorter one, which follows a surge.
+// longer window and a dozen within the shorter one. The average of the shorter window follows a
+// surge sooner.
 const (
 	longWindowMs  clock.Millis = 5000
 	shortWindowMs clock.Millis = 1500
--- a/internal/mesh/permits.go
+++ b/internal/mesh/permits.go
@@ -146,8 +146,9 @@
 	return true, func() { m.ledger.Release(h) }
 }
 
-// ownersPerDomain is how many boxes of a failure domain own upstreams. They are few enough for all
-// boxes to discover them soon, and enough to share the load of the requests.
+// ownersPerDomain is how many boxes of a failure domain own upstreams. Their number is small
+// enough for all boxes to discover them soon, and large enough to share the load of the permit
+// requests.
 const ownersPerDomain = 16
 
 // owner returns the box that counts the requests at an upstream. It is chosen by rendezvous hashing
@@ -172,8 +173,8 @@
 }
 
 // ownersLocked returns the first boxes of a failure domain in the order of their name hashes. It
-// includes boxes that were only named by others, because the views of different boxes differ less
-// then.
+// includes boxes that are known only because other boxes named them, which makes the lists of
+// different boxes differ less.
 func (m *Mesh) ownersLocked(failureDomain string) []hashedIdentity {
 	now, aliveTimeout := m.clock.Monotonic(), m.aliveTimeoutLocked()
 	list := []hashedIdentity{}
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -92,7 +92,8 @@
 }
 
 // ask sends a question to a member's owner. The lease is nil unless the slot is granted. If the
-// owner does not answer, this box's own part of the load bound decides.
+// owner does not answer, the slot is granted if the upstream is within this box's share of the load
+// bound.
 func (s *selection) ask(ctx context.Context, q grant.Question) (*pool.Lease, grant.Reply) {
 	member := s.members[q.MemberID]
 	owner := s.p.owner(member.Owner)
--- a/internal/pipe/claim/claim.go
+++ b/internal/pipe/claim/claim.go
@@ -96,7 +96,7 @@
 			exchange.HeaderIdempotencyKey+": was used for a different request",
 			apierror.WithParam(exchange.HeaderIdempotencyKey))
 	default:
-		// Only the owner of the claim can report that its request did not run: it
+		// Only the box that made the claim can report that the claimed request did not run. That box
 		// may be paused now and still send the request later.
 		x.Outcome = exchange.Unknown
 		return apierror.New(http.StatusConflict, "in_doubt",
--- a/internal/pipe/dispatch/attempt.go
+++ b/internal/pipe/dispatch/attempt.go
@@ -75,8 +75,9 @@
 	s.pipe.deps.OnSignals(s.request.ID, lease, s.signals)
 }
 
-// startFirstByteTimeout cancels an attempt without response headers while another upstream could
-// still respond in time. It does nothing if the request can't be retried.
+// startFirstByteTimeout cancels the attempt if no response headers arrive within
+// firstByteTimeoutFactor times the route's latency objective, so that another upstream can still
+// respond in time. It does nothing if the request can't be retried.
 func (s *retryLoop) startFirstByteTimeout(cancel context.CancelCauseFunc) (stop func()) {
 	r := s.request
 	timeout := firstByteTimeoutFactor * r.Route.ObjectiveMs
--- a/internal/pipe/dispatch/buffered.go
+++ b/internal/pipe/dispatch/buffered.go
@@ -66,8 +66,9 @@
 	}
 }
 
-// mayRelay reports whether the upstream's error response may be sent to the caller. One that says
-// that the request did not run must be true for all attempts of the request.
+// mayRelay reports whether the upstream's error response may be sent to the caller. A status that
+// implies that the request did not run is relayed only if the upstream proved it for this attempt
+// and, unless the route is repeatable, no other attempt may have run.
 func (w *bufferedResponse) mayRelay(r *opaque.Request) bool {
 	if !impliesNotRun(w.status) {
 		return true
@@ -75,8 +76,9 @@
 	return w.notRun && (!r.MayHaveRun || r.Route.Repeatable())
 }
 
-// relay sends the upstream's error response to the caller. The Retry-After header is replaced by
-// the box's own: the upstream's is meant for the box, which may know other upstreams with capacity.
+// relay sends the upstream's error response to the caller. If its
+// status implies that the request did not run, the box replaces the Retry-After header with its own:
+// the upstream's value is meant for the box, which may know other upstreams with capacity.
 func (w *bufferedResponse) relay(r *opaque.Request, retryAfter func() clock.Millis) error {
 	if impliesNotRun(w.status) {
 		w.header.Set("Retry-After", r.Dialect.RetryAfter(retryAfter()))
--- a/internal/pipe/dispatch/failure.go
+++ b/internal/pipe/dispatch/failure.go
@@ -5,7 +5,8 @@
 // execution is the proven state of the request at the upstream after a failed attempt.
 type execution string
 
-// Execution states, the strongest proof that the request did not run first.
+// Execution states, ordered from the strongest proof that the request did not run to the proof that
+// it ran.
 const (
 	// notSent means that no byte of the request was sent.
 	notSent execution = "not_sent"
@@ -27,7 +28,7 @@
 // retryDecision says whether another attempt follows a failed one, or why not.
 type retryDecision string
 
-// Retry decisions; their texts are values of the log.
+// Retry decisions. Their texts are written to the log.
 const (
 	retryAllowed           retryDecision = "another attempt"
 	stopCallerDisconnected retryDecision = "none: the caller left"
--- a/internal/pipe/dispatch/observation.go
+++ b/internal/pipe/dispatch/observation.go
@@ -14,7 +14,7 @@
 // Evidence is a kind of evidence that an upstream may have crashed.
 type Evidence int
 
-// Signs.
+// Kinds of evidence.
 const (
 	// ConnectionBroken is a connection that broke during the request and was not closed by this box.
 	ConnectionBroken Evidence = iota
--- a/internal/pipe/forward/forward.go
+++ b/internal/pipe/forward/forward.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// maxAttempts returns the attempt limit of a request. It is higher while all attempts are proven
-// not to have run: these cost little, and the next engine may be up.
+// maxAttempts returns the attempt limit of a request. It is higher while the request is proven not
+// to have run in any attempt: such attempts cost little, and the next engine may be up.
 func (p *Pipe) maxAttempts(x *exchange.Exchange) int {
 	if x.Sent {
 		return p.settings.MaxAttempts
--- a/internal/pipe/forward/send.go
+++ b/internal/pipe/forward/send.go
@@ -62,8 +62,8 @@
 	return p.relayBuffered(x, lease, response)
 }
 
-// request builds the request to the upstream. A body can't be read a second time, so that the HTTP
-// client never resends it on its own.
+// request builds the request to the upstream. Its body can be read only once, so that the HTTP
+// client never resends the request on its own.
 func (p *Pipe) request(ctx context.Context, x *exchange.Exchange, lease *pool.Lease) (*http.Request, error) {
 	target := url.URL{Scheme: lease.Scheme, Host: lease.Row.Address, Path: x.Path, RawQuery: x.Request.URL.RawQuery}
 	if lease.AddPeerHeaders != nil {
--- a/internal/pipe/forward/stream.go
+++ b/internal/pipe/forward/stream.go
@@ -149,7 +149,8 @@
 
 // extendWriteDeadline restarts the write timeout of the caller's connection.
 func (p *Pipe) extendWriteDeadline(x *exchange.Exchange) {
-	// Response writers of tests do not support deadlines; they have no slow callers either.
+	// The error is ignored: only response writers of tests do not support deadlines, and tests have no
+	// slow callers.
 	_ = http.NewResponseController(x.Writer).SetWriteDeadline((p.clock.Now() + p.writeTimeoutMs).Time())
 }
 
--- a/internal/pipe/identify/identify.go
+++ b/internal/pipe/identify/identify.go
@@ -141,7 +141,8 @@
 
 func (p *Pipe) readBody(x *exchange.Exchange) error {
 	controller := http.NewResponseController(x.Writer)
-	// Response writers of tests do not support deadlines; they have no slow callers either.
+	// The error is ignored: only response writers of tests do not support deadlines, and tests have no
+	// slow callers.
 	_ = controller.SetReadDeadline((p.now() + clock.Millis(p.settings.BodyTimeoutMs)).Time())
 	body, err := io.ReadAll(http.MaxBytesReader(x.Writer, x.Request.Body, p.settings.MaxBodyBytes))
 	_ = controller.SetReadDeadline(time.Time{})
--- a/internal/pipe/receive/receive.go
+++ b/internal/pipe/receive/receive.go
@@ -13,8 +13,8 @@
 	"dooryard.example/dooryard/internal/opaque"
 )
 
-// boxFullRetryMs is the Retry-After of a request refused by a full box, about the duration of a
-// request.
+// boxFullRetryMs is the Retry-After of a request that is refused because the buffered bodies have
+// reached the memory limit of the box. It is about the duration of a request.
 const boxFullRetryMs clock.Millis = 200
 
 // Pipe buffers request bodies.
@@ -25,7 +25,8 @@
 }
 
 // New returns the step. The maxBufferedBytes argument limits the total size of the bodies that the box
-// buffers at once; the clock is monotonic.
+// buffers at once. The limit is checked before a body is read, and the body is counted only after
+// that, so bodies that are still being read are not part of the total. The clock is monotonic.
 func New(maxBufferedBytes int64, monotonic func() clock.Millis) *Pipe {
 	return &Pipe{maxBufferedBytes: maxBufferedBytes, monotonic: monotonic}
 }
@@ -72,7 +73,7 @@
 	return sum
 }
 
-// Done releases the buffer space that Run reserved.
+// Done subtracts the body, which Run counted, from the total of the buffered bodies.
 func (p *Pipe) Done(r *opaque.Request) { p.bufferedBytes.Add(-int64(len(r.Body))) }
 
 func readBody(r *opaque.Request, limit int64) ([]byte, error) {
--- a/internal/pipe/screen/screen.go
+++ b/internal/pipe/screen/screen.go
@@ -1,6 +1,6 @@
-// Package screen is the pipeline step that refuses quarantined requests. Upstreams have crashed
-// while they ran such a request. It would probably crash each further upstream that receives it, which
-// would break all other requests there.
+// Package screen is the pipeline step that refuses quarantined requests. A request is quarantined
+// after upstreams crashed while they ran it. It would probably crash each further upstream that
+// receives it, which would break all other requests there.
 package screen
 
 import (
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -11,7 +11,8 @@
 	"dooryard.example/dooryard/internal/table"
 )
 
-// Member is an upstream in a pool, with the box that owns it, which counts the requests on it.
+// Member is an upstream in a pool, with the box that owns it. The owner counts the requests in
+// flight on the upstream.
 type Member struct {
 	Name     string
 	MemberID grant.MemberID
@@ -42,7 +43,8 @@
 type Ranking struct {
 	// First is the highest-ranked upstream, even if it doesn't accept new work at the moment.
 	First Member
-	// Open lists the highest-ranked upstreams that accept new work.
+	// Open lists those of the maxRankedChoices highest-ranked upstreams that accept new work. If none
+	// of them does, it lists all upstreams of the pool that do, in no rank order.
 	Open []Member
 }
 
--- a/internal/relay/encode.go
+++ b/internal/relay/encode.go
@@ -11,12 +11,12 @@
 	"dooryard.example/dooryard/internal/position"
 )
 
-// maxCachedReplies limits the encoded replies in the cache. They serve boxes that are one or two
-// changes behind.
+// maxCachedReplies limits the encoded replies in the cache. They are used for boxes that are one
+// or two changes behind.
 const maxCachedReplies = 4
 
-// cacheKey holds what determines a reply: the version and position of the requester and of this
-// box.
+// cacheKey identifies a cached reply by the version and position of the requester and of this box.
+// It does not contain the store era, so a cached reply may carry an older era.
 type cacheKey struct {
 	version, ownVersion   int64
 	position, ownPosition position.Position
