--- a/internal/grant/agent.go
+++ b/internal/grant/agent.go
@@ -272,7 +272,7 @@
 		select {
 		case replies <- r:
 		default:
-			// A duplicate reply.
+			// The reply is a duplicate and is dropped.
 		}
 	}
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -186,9 +186,10 @@
 	return out
 }
 
-// nextTarget alternates between the live box with the next higher ID (the lowest ID after the
-// highest) and a traversal of all boxes in random order. As all boxes do so, each box is pinged by
-// its predecessor every other period.
+// nextTarget alternates between the successor of this box and a traversal of all live boxes in random
+// order. The successor is the box with the next higher ID (the lowest ID after the highest) among
+// the boxes that are not suspects. As all boxes do so, each box is pinged by its predecessor every
+// other period.
 func (n *Node) nextTarget() (ID, bool) {
 	if n.period%2 == 0 {
 		if id, found := n.successor(); found {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -141,8 +141,9 @@
 	return nil
 }
 
-// refute responds to an update that declares this box suspect, dead or departed. It raises the
-// incarnation and pings several boxes immediately to spread it.
+// refute responds to an update that declares this box suspect, dead or departed, or alive with a
+// higher incarnation than its own. It raises the incarnation and pings several boxes immediately to
+// spread it.
 func (n *Node) refute(u update) []Outgoing {
 	if u.Incarnation < n.incarnation || u.Status == Alive && u.Incarnation == n.incarnation || n.leaving {
 		return nil
--- a/internal/pipe/route/route.go
+++ b/internal/pipe/route/route.go
@@ -58,8 +58,8 @@
 func PoolSettings(settings config.Route) (pool.Settings, error) {
 	policyName := settings.Policy
 	if policyName == route.PolicyGrants {
-		// The picker falls back to this policy without grants, and services other than engines need
-		// it.
+		// The picker selects engines by slots and needs no pool policy. Pools use this policy for
+		// services, and to explain how they rank their members.
 		policyName = route.PolicyRendezvousBound
 	}
 	policy, err := route.PolicyByName(policyName)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -178,7 +178,8 @@
 }
 
 // upsert returns the state of an upstream that is in the table. An upstream that joins after the
-// first table gets a slow start. An upstream with a new address is treated as a new one.
+// first table, or whose row is no longer marked as draining, gets a slow start. An upstream with a
+// new address is treated as a new one.
 func (m *Manager) upsert(row *table.Upstream, now clock.Millis) *upstream {
 	old := m.upstreams[row.Name]
 	if old == nil || old.row.Address != row.Address {
