--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -186,9 +186,10 @@
 	return out
 }
 
-// nextTarget alternates between the live box with the next higher ID (the lowest ID after the
-// highest) and a traversal of all boxes in random order. As all boxes do so, each box is pinged by
-// its predecessor every other period.
+// nextTarget alternates between the successor of this box and a traversal of all live boxes in random
+// order. The successor is the box with the next higher ID (the lowest ID after the highest) among
+// the boxes that are not suspects. As all boxes do so, each box is pinged by its predecessor every
+// other period.
 func (n *Node) nextTarget() (ID, bool) {
 	if n.period%2 == 0 {
 		if id, found := n.successor(); found {
@@ -313,8 +314,9 @@
 	return []Outgoing{{Address: address, Body: body}}
 }
 
-// nextFacts returns the facts to send. Every other ping carries this box's facts and acks carry
-// those of other boxes. The number of facts grows with the failure domain.
+// nextFacts returns the facts to send. Every other ping carries this box's facts, and acks carry
+// those of other boxes. From boxesPerFact boxes on, each ping and each ack carries the facts of one
+// more box, up to maxFacts in an ack.
 func (n *Node) nextFacts(k kind) []factEntry {
 	others := min(maxFacts, 1+n.size()/boxesPerFact)
 	if k == kindPing {
