--- a/internal/registry/journal.go
+++ b/internal/registry/journal.go
@@ -7,7 +7,8 @@
 )
 
 // minJournalLength is the minimum number of changes that a registry can send to other boxes
-// one by one. It exceeds the number of changes that arrive while a box misses a few rounds.
+// one by one. It exceeds the number of changes that arrive while a box misses a few gossip
+// rounds.
 const minJournalLength = 256
 
 // journal keeps the most recent changes.
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -49,7 +49,7 @@
 // Change is a change to one upstream, as reported by a source.
 type Change struct {
 	Upstream Upstream `json:"upstream"`
-	// Removed is set when the upstream's entry was removed. Only the ID is used in this case.
+	// Removed is set when the upstream's entry was removed. Of Upstream, only the ID is used then.
 	Removed bool `json:"gone,omitempty"`
 	// Unusable is set together with Removed when an entry exists but does not describe a usable
 	// upstream. Such an upstream does not reappear when the store that holds the entry
@@ -213,7 +213,8 @@
 	return removed
 }
 
-// Confirm records that another box knew of nothing newer than a position.
+// Confirm records that another box knew of nothing newer than a position. It has no effect
+// unless this is also the newest position that this box has applied.
 func (r *Registry) Confirm(at position.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -302,8 +303,8 @@
 	Changes  []Change `json:"changes,omitempty"`
 }
 
-// Since returns the changes after a position, or the complete list of upstreams when the
-// journal does not reach back that far.
+// Since returns the changes after a position. It returns the complete list of upstreams instead
+// if the journal does not reach back that far, or if the position is of an earlier era.
 func (r *Registry) Since(after position.Position) Update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registry/restored.go
+++ b/internal/registry/restored.go
@@ -49,9 +49,9 @@
 	return e
 }
 
-// delayForeignRemovals adds a grace period to the removal of upstreams whose place in a
-// restored copy is taken by another writer's entry. The upstreams may have written their own
-// entries after the copy was made.
+// delayForeignRemovals adds a grace period to the removal of upstreams whose entry in a restored
+// copy is unusable because another writer wrote it. The upstreams may have written valid entries
+// after the copy was made, and those were lost in the restore.
 func (r *Registry) delayForeignRemovals(all []Change, at position.Position, graceMs clock.Millis) []Change {
 	if !r.inNewerEra(at) {
 		return all
--- a/internal/routing/state_tracker.go
+++ b/internal/routing/state_tracker.go
@@ -35,7 +35,8 @@
 	// set.
 	newestEra int64
 	eraKnown  bool
-	// resettledMs is when a restored store holds again what operators wrote.
+	// resettledMs is the monotonic time by which operators are expected to have written again
+	// what a restored store lost.
 	resettledMs clock.Millis
 }
 
@@ -114,7 +115,8 @@
 
 // Confirm records a confirmation. A confirmation of a version lower than the current one
 // counts only if its era is not newer than the current state's, because a restored store may
-// hold a lower version.
+// hold a lower version. A confirmation of a higher version is ignored, and so is one from the
+// time in which operators may still have to write again what a restored store lost.
 func (t *StateTracker) Confirm(p Confirmation) {
 	h := t.adopted.Load()
 	switch {
