--- a/internal/box/claims.go
+++ b/internal/box/claims.go
@@ -10,8 +10,9 @@
 	"dooryard.example/dooryard/internal/route"
 )
 
-// forwardTimeoutMs is how long a box waits for a shard's coordinator before it claims by
-// itself. Settle and release records need no verdict.
+// forwardTimeoutMs is how long a box waits for the reply of a shard's coordinator before it
+// handles the record itself. The coordinator replies to a claim with its verdict, and to a
+// settle or release record as soon as it has queued it, because these need no verdict.
 const forwardTimeoutMs = 1500 * clock.Millis(1)
 
 // shardCoordinator returns the box that batches a shard's appends: the highest-ranked one
--- a/internal/box/table.go
+++ b/internal/box/table.go
@@ -28,7 +28,8 @@
 	relayFanout = 4
 	// catchUpIntervalMs is how often a box checks whether others are ahead of it.
 	catchUpIntervalMs = 500 * clock.Millis(1)
-	// maxRelaysTried bounds the number of peers tried by one read.
+	// maxRelaysTried is the maximum number of boxes of other failure domains that one read of
+	// records tries. A request for the complete table tries up to twice as many peers.
 	maxRelaysTried      = 2
 	stateTimeoutMs      = 10 * clock.Second
 	catchUpRecords      = 1000
@@ -36,8 +37,8 @@
 	snapshotCheckMs     = 10 * clock.Second
 	// snapshotIntervalRecords is the number of table records between two snapshots.
 	snapshotIntervalRecords = 500
-	// snapshotRankDelayMs is the delay before a box writes the snapshot, for each box of a
-	// higher rank.
+	// snapshotRankDelayMs is how long a box waits, for each box ranked before it, before it
+	// writes a snapshot itself.
 	snapshotRankDelayMs = 30 * clock.Second
 )
 
@@ -236,8 +237,8 @@
 	return chunks, nil
 }
 
-// catchUp reads records from a box that is ahead of this one, which covers for a read of the
-// log that hangs.
+// catchUp reads records from a box that is ahead of this one, so that this box's table stays
+// current even while its own read of the log hangs.
 func (b *Box) catchUp(ctx context.Context) {
 	b.clock.Every(ctx, catchUpIntervalMs, func(clock.Millis) {
 		address, ahead := b.peerAheadOf(b.store.State().Offset())
--- a/internal/claim/ledger.go
+++ b/internal/claim/ledger.go
@@ -7,7 +7,8 @@
 
 // States of a key.
 const (
-	// Absent means that no claim by this owner has been applied yet.
+	// Absent means that no owner holds the key: no claim has been applied yet, or the holder's
+	// claim was released or has expired.
 	Absent State = "absent"
 	// Won means that this owner holds the key.
 	Won State = "won"
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -119,8 +119,9 @@
 	return base64.RawURLEncoding.EncodeToString(digest.Sum(nil)[:keyBytes])
 }
 
-// Shards is the number of claim streams. It bounds the rate of appends for claims to shards
-// times batches per second. It must never change, because a key must stay on its stream.
+// Shards is the number of claim streams. It bounds the rate of appends for claims to Shards
+// times the number of batches per second of one stream. It must never change, because a key
+// must stay on its stream.
 const Shards = 64
 
 // Shard returns the number of the stream that holds a key.
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -19,8 +19,8 @@
 	// renewIntervalMs is the interval between renewals, and the minimum interval between two
 	// attempts to acquire.
 	renewIntervalMs = 5 * clock.Second
-	// clockMarginMs is how much earlier than other boxes a holder considers its own lease expired. Clock
-	// rates of two machines differ by less than this over one lease duration.
+	// clockMarginMs is how much earlier than other boxes a holder considers its own lease
+	// expired. The clocks of two machines drift apart by less than this in one lease duration.
 	clockMarginMs = 2 * clock.Second
 	// pollMs is how long one read of the stream waits for new records.
 	pollMs = 5 * clock.Second
@@ -38,8 +38,8 @@
 
 	mu    sync.Mutex
 	state State
-	// heldUntilMs is the end of this box's lease by its own clock, counted from before the
-	// append that acquired or renewed it.
+	// heldUntilMs is the end of this box's lease by its own clock. It is counted from before the
+	// append that acquired or renewed the lease, and reduced by clockMarginMs.
 	heldUntilMs clock.Millis
 	// lastAppendMs is the time of the latest attempt to append a record.
 	lastAppendMs clock.Millis
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -85,7 +85,8 @@
 	return s
 }
 
-// Holder returns the box that acquired the lease last.
+// Holder returns the box and incarnation that acquired the lease last, or "" if none has. The
+// lease may have ended since.
 func (s State) Holder() string { return s.holder }
 
 // Token returns the fencing token of the newest holder. Tokens increase with each new holder.
--- a/internal/logstream/follower.go
+++ b/internal/logstream/follower.go
@@ -34,8 +34,8 @@
 	clock   clock.Clock
 	logger  *zap.Logger
 	sources func() []Source
-	// record is called for each record in the order of offsets. Records are only skipped by Advance
-	// and expired.
+	// record is called for each record in the order of offsets. Only Advance and expired skip
+	// records.
 	record func(backing.Record)
 	// expired is called when the requested offset is past the retention of a
 	// source. It returns the offset at which to continue.
