--- a/internal/balance/failures.go
+++ b/internal/balance/failures.go
@@ -14,8 +14,8 @@
 	failureRateWeight = 0.125
 	// minFailureSamples is the number of responses that are needed before the rate is evaluated.
 	minFailureSamples = 4
-	// minEjectRate is the minimum failure rate for an ejection: twice the rate at which plain
-	// services fail on an ordinary day.
+	// minEjectRate is the minimum failure rate for an ejection. It is twice the rate at which services
+	// other than engines normally fail.
 	minEjectRate = 0.3
 	// minEjectRatio is the minimum ratio to the average rate of the other upstreams in the pool. If
 	// all of them fail alike, ejecting one does not help.
--- a/internal/balance/fetch.go
+++ b/internal/balance/fetch.go
@@ -5,14 +5,17 @@
 	"dooryard.example/dooryard/internal/prompt"
 )
 
-// minFetchTokens is the minimum gain for which cached parts are fetched from another engine. Below
-// it, prefilling them is as fast as the call.
+// minFetchTokens is the minimum number of tokens that a fetch from another engine must save. Prefilling
+// fewer tokens is as fast as the fetch call.
 const minFetchTokens = 64
 
-// chooseFetchSource selects the engine that is known to cache the most of the prompt, if that is
-// more than the chosen engine caches. Fetching raises the value score by 0.029 on days with crashes
-// and partitions (ten paired runs, standard error 0.002); 0.005 of it (0.001) is due to what other
-// boxes announce about engines.
+// chooseFetchSource selects the engine from which the chosen engine fetches cached parts. This is the
+// engine that is known to cache the most of the prompt, if it caches at least minFetchTokens more than
+// the chosen engine. Otherwise it is the engine that likelyHolder returns, if any.
+//
+// Fetching raises the value score by 0.029 on days with crashes and partitions (ten paired runs,
+// standard error 0.002). Of this, 0.005 (standard error 0.001) is due to the announcements of other
+// boxes about what engines cache.
 func (m *Manager) chooseFetchSource(lease *Lease, request PickRequest, shared []prompt.KeyedPart, now clock.Millis) {
 	if !request.Transfers || len(shared) == 0 {
 		return
@@ -29,9 +32,10 @@
 	lease.FetchFrom = m.likelyHolder(lease, order, now)
 }
 
-// likelyHolder returns the address of the engine that ranks first for a session, if this request
-// got no permit there. In a large fleet boxes don't announce what engines cache, but others have
-// likely sent the session to that engine.
+// likelyHolder returns the address of the engine that ranks first for a session, if it is usable but
+// another engine was chosen, for example because the first one's owner refused a permit. In a large
+// fleet boxes don't announce what engines cache, but other boxes have likely sent the session to the
+// first engine. In smaller fleets it returns "".
 func (m *Manager) likelyHolder(lease *Lease, order []*Member, now clock.Millis) string {
 	first := order[0]
 	if m.fleetInFlightByPool == nil || first == lease.Member || first.unavailable(now) || !m.usable(first, now) {
@@ -49,7 +53,8 @@
 }
 
 // knownHolder returns the address of the engine that is known to cache the most of the prompt, and
-// the number of tokens it caches.
+// the number of tokens it caches. It considers the engines in order and the recently departed ones,
+// but not the chosen engine or those that are ejected or backing off.
 func (m *Manager) knownHolder(
 	lease *Lease, order []*Member, shared []prompt.KeyedPart, now clock.Millis,
 ) (address string, cached int) {
--- a/internal/balance/hotsessions.go
+++ b/internal/balance/hotsessions.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// countHalfLifeMs is the interval at which the counts of this box are halved. A few seconds are
-	// enough to detect a session that other boxes use too, and a surge is spread within its first
-	// second.
+	// countHalfLifeMs is the interval at which the counts of this box are halved. Counting over a few
+	// seconds is enough to detect a session that other boxes use too, and a session that surges is
+	// spread within the first second of the surge.
 	countHalfLifeMs = 2 * clock.Second
-	// minHotRequests is the minimum number of requests of a hot session. With fewer, chance alone can
-	// produce any share.
+	// minHotRequests is the minimum count at which a session is hot. With fewer requests, the measured
+	// share is mostly random.
 	minHotRequests = 4
 	// minSpreadFactor is how many times the free capacity of one engine a session must need before it
-	// is spread. Below it, the next engines in its order take the excess.
+	// is spread. Below it, the excess goes to the next engines in the session's rank order.
 	minSpreadFactor = 1.5
 	// maxCountedSessions bounds the number of sessions that are counted.
 	maxCountedSessions = 4096
@@ -25,11 +25,12 @@
 
 // sessionCounts counts how often the recent requests of a pool at this box used each session.
 //
-// Boxes learn late what others have in flight, in a large fleet after up to 1.25 s. Until then each
-// of them sends a hot session to the engine that ranks first for it: with 87 boxes, 100 engines and
-// one session in 12% of the requests, 6.2% of the requests went to engines above twice the mean
-// (TestSurgeLargeFleet). Each box can measure the session's share by itself, and that share of the
-// total load shows how many engines it needs. With this, 2.6% of the requests go to such engines.
+// A box learns what other boxes have in flight with a delay, which is up to 1.25 s in a large fleet.
+// Until then each box sends a hot session to the engine that ranks first for it. With 87 boxes, 100
+// engines and one session in 12% of the requests, 6.2% of the requests went to engines above twice
+// the mean load (TestSurgeLargeFleet). Each box can measure the session's share of the requests by
+// itself; multiplied by the total load, it gives the number of engines that the session needs. With
+// sessions spread accordingly, 2.6% of the requests go to engines above twice the mean load.
 type sessionCounts struct {
 	counts    map[string]float64
 	total     float64
@@ -75,8 +76,9 @@
 }
 
 // spreadWidth returns the number of engines over which a session with a share of the total load is
-// spread, so that none reaches the bound. Boxes that don't know each other's loads fill an engine
-// by chance, so the standard deviation of a count as large as the bound is kept free.
+// spread, so that none reaches the bound. Boxes don't know each other's current loads, so the number
+// of requests at an engine varies randomly. Room for one standard deviation is therefore kept free:
+// the square root of the bound.
 func spreadWidth(share float64, total, members, bound int) int {
 	room := max(1, float64(bound)-float64(total)/float64(members)-math.Sqrt(float64(bound)))
 	needed := share * float64(total) / room
--- a/internal/balance/hotsessions_test.go
+++ b/internal/balance/hotsessions_test.go
@@ -40,7 +40,7 @@
 }
 
 func TestSpread(t *testing.T) {
-	// 12 engines with a mean load of 10 and a bound of 20, of which 4 are kept free for chance.
+	// 12 engines with a mean load of 10 and a bound of 20, of which 4 are kept free for random variation.
 	spreadOf := func(share float64) int { return spreadWidth(share, 120, 12, 20) }
 	assert.Equal(t, 1, spreadOf(0), "an ordinary session")
 	assert.Equal(t, 1, spreadOf(0.05), "6 requests fit into one engine or overflow to the next")
--- a/internal/balance/manager.go
+++ b/internal/balance/manager.go
@@ -1,6 +1,6 @@
 // Package balance chooses upstreams for opaque requests. Prompts go back to the engine that
-// prefilled them, as long as no engine exceeds a configured multiple of the mean load; other
-// requests go to the least loaded upstream.
+// prefilled them, unless its load has reached a bound: a configured multiple of the mean load plus a
+// small slack. Other requests go to the least loaded upstream.
 package balance
 
 import (
@@ -20,11 +20,13 @@
 type Settings struct {
 	// FailureDomain is the failure domain of this box.
 	FailureDomain string
-	// BoundPercent is the maximum load of an engine, in percent of the mean load.
+	// BoundPercent is the maximum load of an engine in percent of the mean load, before boundSlack is
+	// added.
 	BoundPercent int
 	// Health configures ejections.
 	Health health.Limits
-	// PanicPercent is the maximum percentage of a pool that may be ejected.
+	// PanicPercent is the maximum percentage of a pool's otherwise available upstreams that may be
+	// excluded as ejected or on probation. If there are more, none of them is excluded.
 	PanicPercent int
 }
 
@@ -102,7 +104,8 @@
 const departedTTLMs = 2 * clock.Second
 
 // recordDeparture keeps an upstream whose entry has gone as a fetch source for a while, unless its
-// server has restarted: a restart empties its cache.
+// server has restarted: a restart empties its cache. In both cases it records the upstream's parts as
+// lost.
 func (m *Manager) recordDeparture(member, successor *Member) {
 	if successor == nil || successor.StartedMs == member.StartedMs {
 		member.departedMs = m.monotonic()
@@ -116,7 +119,7 @@
 	}
 }
 
-// expireDeparted removes upstreams that have been gone for long, and expired signals.
+// expireDeparted removes upstreams that departed more than departedTTLMs ago, and expired signals.
 func (m *Manager) expireDeparted(now clock.Millis) {
 	maps.DeleteFunc(m.departedSignals, func(_ string, s *upstreamSignals) bool { return s.expired(now) })
 	for pool, members := range m.departed {
@@ -126,10 +129,10 @@
 }
 
 // memberFor returns the state of an upstream. A server that has restarted gets a new state, because
-// its running requests and its cache are gone. Attempts at its previous incarnation end with their
-// connections, which its host resets at the next keep-alive, within a second. They are not ended
-// here, because those that were sent after the restart, but before it was noticed, run on the new
-// incarnation.
+// its running requests and its cache are gone. Attempts that were sent to the previous incarnation
+// fail when the server's host resets their connections at the next keep-alive, within a second. They
+// are not ended here, because attempts that were sent after the restart, but before this box noticed
+// it, run on the new incarnation.
 func (m *Manager) memberFor(old *Member, u registry.Upstream) *Member {
 	if old == nil {
 		return newMember(u, m.connect(u.Address), m.signalsFor(u, nil))
@@ -137,7 +140,8 @@
 	if old.identity != identityOf(u) {
 		return newMember(u, m.connect(u.Address), m.signalsFor(u, old.signals))
 	}
-	// Requests read the other fields without the lock; these are unchanged.
+	// Requests read the other fields without the lock. Those are the same in the new entry, so they
+	// are not written here.
 	old.Draining, old.Slots = u.Draining, u.Slots
 	return old
 }
--- a/internal/balance/member.go
+++ b/internal/balance/member.go
@@ -39,7 +39,8 @@
 	connectionLost bool
 	failures       failureRate
 	parts          partIndex
-	// prefilling counts the requests for which the engine is prefilling a part, until it responds.
+	// prefilling holds, by part, the number of this box's requests for which the engine is prefilling
+	// the part, until it responds to them.
 	prefilling map[namekey.Key]int
 }
 
--- a/internal/balance/netpath.go
+++ b/internal/balance/netpath.go
@@ -6,8 +6,9 @@
 	"dooryard.example/dooryard/internal/clock"
 )
 
-// correlationWindowMs is the window within which failures of several upstreams count as one failure
-// of what they share. It covers a few round trips and connect timeouts.
+// correlationWindowMs is the window within which failures of several upstreams of a failure domain
+// suggest a failure of the network path that they share. It covers a few round trips and connect
+// timeouts.
 const correlationWindowMs clock.Millis = 800
 
 // minCorrelatedFailures is how many upstreams of a failure domain must fail within the window
@@ -15,13 +16,13 @@
 const minCorrelatedFailures = 2
 
 // netPath is the state of this box's network path to a failure domain. During a partition
-// nothing is received from the domain. The box then opens connections by itself, so that no request
-// has to discover the partition.
+// nothing is received from the domain. The box then opens probe connections, so that no request has
+// to discover the partition.
 //
-// All boxes detect a partition within 0.2 s to 0.4 s; when requests discovered it, one upstream at
-// a time, each took 0.2 s to 0.7 s. On days with a partition of 5.5 s, the value score of clients
-// in the partitioned domain is 0.006 higher, and that of the whole day 0.003 (nine paired runs,
-// standard errors 0.002 and 0.001).
+// With probes, all boxes detect a partition within 0.2 s to 0.4 s. Without them, requests discovered
+// it one upstream at a time, and each discovery took 0.2 s to 0.7 s. On days with a partition of
+// 5.5 s, probes raise the value score of clients in the partitioned domain by 0.006 and that of the
+// whole day by 0.003 (nine paired runs, standard errors 0.002 and 0.001).
 type netPath struct {
 	// lastContactMs is when anything was last received from the domain.
 	lastContactMs atomic.Int64
@@ -54,7 +55,8 @@
 	return p
 }
 
-// recordContact records a sign of life. It takes no lock because it is called often for streams.
+// recordContact records that something was received from the domain. It takes no lock because it is
+// called often while responses are streamed.
 func (p *netPath) recordContact(now clock.Millis) { p.lastContactMs.Store(int64(now)) }
 
 // silent reports whether nothing was received from the domain for longer than expected. HeartbeatMs
@@ -67,8 +69,8 @@
 	return heartbeatMs > 0 && silence > heartbeatMs+heartbeatGraceMs
 }
 
-// correlated records a failure and reports whether several upstreams failed within the correlation
-// window.
+// correlated records a failure and reports whether at least minCorrelatedFailures upstreams failed
+// within the correlation window.
 func correlated(failures map[string]clock.Millis, id string, now clock.Millis) bool {
 	failures[id] = now
 	count := 0
@@ -123,15 +125,17 @@
 	}
 }
 
-// recordResponseStart records that the upstream started to respond: it is healthy, and the path
-// gave a sign of life. Only the next probe decides whether a partitioned path has recovered.
+// recordResponseStart records that the upstream started to respond. This ends its probation and counts
+// as contact with its failure domain. It does not end a partition: only a probe decides whether a
+// partitioned path has recovered.
 func (m *Manager) recordResponseStart(member *Member) {
 	member.probation = false
 	m.pathTo(member.FailureDomain).recordContact(m.monotonic())
 }
 
-// closeIdleConnections closes the idle connections to a failure domain. A request on a new connection
-// proves, if the path is partitioned, that nothing was sent, because the connection does not open.
+// closeIdleConnections closes the idle connections to a failure domain, so that further requests open
+// new ones. If the path is partitioned, a new connection does not open, which proves that nothing of
+// the request was sent.
 func (m *Manager) closeIdleConnections(name string) {
 	for _, member := range m.byID {
 		if member.FailureDomain == name {
--- a/internal/balance/parts.go
+++ b/internal/balance/parts.go
@@ -20,8 +20,8 @@
 	// partTTLMs is how long a part is assumed to be cached after its last use.
 	partTTLMs = 30 * clock.Second
 	// reannounceMs is the minimum age of the newest record of a part before it is announced to other
-	// boxes again. It is short compared to partTTLMs, so that the record of a part in use never
-	// expires there.
+	// boxes again. It is short compared to partTTLMs, so that the other boxes' record of a part in use
+	// never expires.
 	reannounceMs = 5 * clock.Second
 )
 
@@ -47,8 +47,8 @@
 	return known && now-at <= window
 }
 
-// cachedTokens returns how many tokens at the beginning of the prompt are likely cached. A cached
-// part was prefilled after all parts before it.
+// cachedTokens returns how many tokens at the beginning of the prompt are likely cached. If a part is
+// cached, all parts before it count as cached too, because they were prefilled before it.
 func (p partIndex) cachedTokens(parts []prompt.KeyedPart, now clock.Millis) int {
 	sum, cachedTokens := 0, 0
 	for _, part := range parts {
@@ -67,7 +67,8 @@
 	list []prompt.CachedPart
 }
 
-// maxAnnouncements bounds a log. It exceeds what a box sends in a few rounds.
+// maxAnnouncements is the number of entries to which a log is cut once it holds twice as many. It
+// exceeds what a box sends in a few rounds of messages.
 const maxAnnouncements = 256
 
 func (a *announceLog) add(entry prompt.CachedPart) {
--- a/internal/balance/permits.go
+++ b/internal/balance/permits.go
@@ -7,11 +7,11 @@
 	"dooryard.example/dooryard/internal/namekey"
 )
 
-// In a fleet of hundreds, a box sees a small fraction of the traffic, and sharing all loads between
-// boxes would exceed the byte limit for control messages. There each engine has an owner, a box
-// that counts the requests of all boxes at the engine and grants a permit before a request is sent.
-// This handles uneven load: engines that are slow, that have more sessions than others, or that
-// prefill prompts for the first time.
+// In a fleet of hundreds of boxes, a box sees a small fraction of the traffic, and sharing all
+// loads between boxes would exceed the byte limit for control messages. In such a fleet each engine
+// has an owner, a box that counts the requests of all boxes at the engine and grants a permit
+// before a request is sent. This handles uneven load: engines that are slow, that have more
+// sessions than others, or that prefill prompts for the first time.
 
 // maxPermitRefusals is how many engines may refuse a permit before a request goes to the next one
 // regardless of its load.
@@ -25,8 +25,9 @@
 	Release func()
 }
 
-// PickWithPermit picks like Pick, and requests a permit at each engine until one is granted.
-// Acquire requests a permit under a bound from the owner of the lease's engine.
+// PickWithPermit picks like Pick. If the engine has an owner, it also requests a permit; if the owner
+// refuses, it picks another engine, until a permit is granted. The function acquire requests a permit
+// from the owner of the lease's engine, who grants it while the engine's load is below the bound.
 func (m *Manager) PickWithPermit(
 	request PickRequest, acquire func(lease *Lease, bound int) PermitReply,
 ) (*Lease, error) {
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -39,8 +39,8 @@
 	// Spread is the number of engines over which the session is spread, or 0 for requests that don't
 	// belong to a session.
 	Spread int
-	// MeanPercent is the mean number of requests per upstream of the pool at the time of the pick,
-	// times 100.
+	// MeanPercent is the mean number of requests per candidate upstream at the time of the pick, times
+	// 100.
 	MeanPercent int
 	// FetchFrom is the address of the engine to fetch cached parts from, or "".
 	FetchFrom string
@@ -137,8 +137,9 @@
 }
 
 // pickSticky chooses the first engine in the session's order that is below the bound, or else the
-// least loaded one. If a session needs more capacity than one engine has, the search starts at a
-// random one of the first engines, of which there are as many as the session needs.
+// least loaded one. It passes over engines in request.Full, except that the first engine in the order
+// is chosen if no other one is below the bound or less loaded than it. If a session needs the capacity
+// of several engines (lease.Spread), the search starts at a random one of that many first engines.
 func (m *Manager) pickSticky(lease *Lease, members []*Member, request PickRequest, total int, now clock.Millis) {
 	ranked := rank(request.Prompt.Session(), members)
 	bound := m.bound(total, len(members))
@@ -181,9 +182,9 @@
 	return h.share(request.Prompt.Session())
 }
 
-// bound returns the maximum load of an engine: the configured multiple of the mean including this
-// request, rounded up, plus boundSlack, which matters while the mean is small, minus the load that
-// may be unreported. It is always above the mean.
+// bound returns the maximum load of an engine. It is the configured multiple of the mean load (which
+// includes this request), rounded up, plus boundSlack, minus the load that may be unreported. The
+// slack matters while the mean is small. The bound is always above the mean.
 func (m *Manager) bound(total, members int) int {
 	bound := ((total+1)*m.settings.BoundPercent+members*percent-1)/(members*percent) + boundSlack
 	return max(bound-m.unreportedLoad(bound), (total+members)/members)
@@ -193,12 +194,12 @@
 // other boxes are old. If the reports are at least as old as requests usually take, this is the
 // standard deviation of a count of that size. It is proportionally less for newer reports.
 //
-// Without this correction, engines are overloaded unnoticed if boxes exchange loads only every
-// 1.25 s. On three days with aggressive clients at 87 boxes, 4.2 to 4.7% of the requests in some
-// windows of 5 s went to engines above twice the mean; with it, under 3% did (three days each, the
-// limit is 3%). The value score there was 0.873, 0.894 and 0.889 without it, and 0.872, 0.891 and
-// 0.879 with it, because more prompts are prefilled again. Six boxes exchange loads every 0.25 s,
-// and their bound stays the same.
+// Without this correction, boxes overload engines without noticing if they exchange loads only every
+// 1.25 s. On three days with aggressive clients and 87 boxes, 4.2 to 4.7% of the requests in some
+// windows of 5 s went to engines above twice the mean. With the correction, under 3% did (three days
+// each, the limit is 3%). The value score on these days was 0.873, 0.894 and 0.889 without the
+// correction, and 0.872, 0.891 and 0.879 with it, because more prompts are prefilled again. Six boxes
+// exchange loads every 0.25 s, and the correction does not change their bound.
 func (m *Manager) unreportedLoad(load int) int {
 	if m.fleetInFlightByPool != nil {
 		// Owners count the load that boxes don't report to each other.
@@ -227,7 +228,7 @@
 }
 
 // pickLeastLoaded chooses the member with the lowest cost, which favors this failure domain. Among
-// members with the same cost it chooses the first one after a random position.
+// members with the same cost it chooses the first one at or after a random position, wrapping around.
 func (m *Manager) pickLeastLoaded(lease *Lease, members []*Member, now clock.Millis) {
 	best, bestCost := 0, 0
 	first := m.random(len(members))
@@ -263,7 +264,7 @@
 	}
 }
 
-// release reports whether the lease was not released before.
+// release ends the lease and reports whether this was the first call.
 func (l *Lease) release(result Result) bool {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
--- a/internal/balance/probes.go
+++ b/internal/balance/probes.go
@@ -11,8 +11,8 @@
 // Thresholds for probing a failure domain. Silence suggests that the path to it is partitioned;
 // connections that can't be opened prove it.
 const (
-	// With shorter thresholds than these, false alarms cause many additional probes: 87 boxes opened
-	// 58,000 connections in a day for which 22,000 suffice.
+	// Shorter thresholds than these cause many additional probes of paths that work: 87 boxes opened
+	// 58,000 connections on a day on which 22,000 suffice.
 	//
 	// maxResponseSilenceMs is how long a domain may be silent while at least minResponding
 	// responses are being received from it. It is several times the pause between two events of a
--- a/internal/balance/retryafter.go
+++ b/internal/balance/retryafter.go
@@ -11,8 +11,8 @@
 	// discoveryMs approximates how long a new upstream takes to appear in the registry, for a pool
 	// that has none.
 	discoveryMs clock.Millis = 250
-	// minRetryAfterMs is about the duration of a short request. A full upstream hardly frees capacity
-	// before that, and a caller that is refused twice is worse off.
+	// minRetryAfterMs is the minimum delay, about the duration of a short request. A full upstream rarely
+	// frees capacity sooner, and a second refusal is worse for a caller than the wait.
 	minRetryAfterMs clock.Millis = 60
 	// minCompletionGapMs and maxCompletionGapMs clamp the measured gap between two completions of
 	// requests in a pool, because a box that has seen few completions estimates it poorly.
@@ -26,8 +26,8 @@
 	// predict anything beyond it.
 	maxRetryAfterMs = 5 * clock.Second
 	// maxAvailabilityDelayMs caps how much of an upstream's backoff is passed on to callers. New
-	// upstreams may appear in the meantime, and a refusal costs a caller only some milliseconds a
-	// minute.
+	// upstreams may appear in the meantime, and one refused retry a minute costs a caller only some
+	// milliseconds.
 	maxAvailabilityDelayMs = 60 * clock.Second
 	// maxScheduledRetries bounds the number of callers that are remembered.
 	maxScheduledRetries = 256
@@ -75,7 +75,7 @@
 			ahead++
 		}
 	}
-	// Callers are spread over time after the end of a backoff, too.
+	// The spread is added to the earliest time, so that callers don't all retry when a backoff ends.
 	delay := earliest + min(clock.Millis(r.completionGapMs*float64(ahead+1)), maxRetryAfterMs-min(earliest, discoveryMs))
 	if len(r.scheduled) < maxScheduledRetries {
 		r.scheduled = append(r.scheduled, scheduledRetry{dueMs: now + delay, priority: priority})
@@ -95,8 +95,9 @@
 	return m.retryScheduleFor(pool).schedule(now, earliest, priority)
 }
 
-// availableIn returns the delay until an upstream of the pool may accept requests. An upstream that
-// is backing off does not do so before its backoff ends, so it does not let callers retry sooner.
+// availableIn returns the delay until the first upstream of the pool may accept requests. The delay of
+// an upstream that is backing off is at least the rest of its backoff. If all upstreams are draining
+// or the pool has none, the delay is discoveryMs.
 func (m *Manager) availableIn(pool string, now clock.Millis) clock.Millis {
 	delay, found := discoveryMs, false
 	for _, member := range m.pools[pool] {
--- a/internal/balance/signals.go
+++ b/internal/balance/signals.go
@@ -21,8 +21,8 @@
 type AllBackingOffError struct {
 	// Upstreams is the number of upstreams that are backing off.
 	Upstreams int
-	// NextUpstream is the upstream whose backoff ends first, in RetryInMs. RefusedRequest is the
-	// request in whose refusal it asked for the backoff.
+	// NextUpstream is the upstream whose backoff ends first, in RetryInMs. It asked for the backoff when
+	// it refused the request RefusedRequest.
 	NextUpstream   string
 	RetryInMs      clock.Millis
 	RefusedRequest string
@@ -51,7 +51,7 @@
 type upstreamSignals struct {
 	incarnation    string
 	backoffUntilMs clock.Millis
-	// refusedRequest is the request in whose refusal the upstream asked for the backoff.
+	// refusedRequest is the request that the upstream refused when it asked for the backoff.
 	refusedRequest string
 	shuttingDown   bool
 	// backoffSetMs is when the upstream last asked for a backoff.
@@ -63,9 +63,10 @@
 	departedMs clock.Millis
 }
 
-// signalsTTLMs is how long a box keeps the signals of an upstream after its entry disappeared. Signals
-// in responses that arrive later are also kept only until then. It is many times the duration of an
-// upstream's shutdown or of a store outage.
+// signalsTTLMs is how long a box keeps the signals of an upstream after its entry disappeared.
+// Signals in responses that arrive later are also kept only until then, but a backoff that lasts
+// longer is kept until it ends. The time is many times the duration of an upstream's shutdown or of
+// a store outage.
 const signalsTTLMs = 10 * 60 * clock.Second
 
 func (s *upstreamSignals) backingOff(now clock.Millis) bool { return now < s.backoffUntilMs }
