--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -54,7 +54,7 @@
 }
 
 // WithFailure returns the record after a failure. It ejects the upstream after several consecutive
-// failures, or on the first failure if a recent ejection has ended.
+// failures, or on the first failure if the last ejection ended less than the maximum ejection time ago.
 func (h Health) WithFailure(now clock.Millis, limits Limits) Health {
 	if h.Ejected(now) {
 		return h
--- a/internal/limit/organisation.go
+++ b/internal/limit/organisation.go
@@ -19,8 +19,8 @@
 // Share returns the fraction, 0 to 1, of an organisation's fleet-wide limits that this box may use.
 type Share func(organisation string) float64
 
-// Organisations enforces the fleet-wide limits of organisations on one box, which applies its share
-// of them. It is safe for concurrent use.
+// Organisations enforces the limits of organisations on one box. The limits are fleet-wide, and each
+// box enforces its share of them. It is safe for concurrent use.
 type Organisations struct {
 	share Share
 	now   func() clock.Millis
--- a/internal/limit/queue.go
+++ b/internal/limit/queue.go
@@ -222,8 +222,8 @@
 }
 
 // expectedWait divides the number of requests that are served before a new one of the flow by the
-// recent completion rate. Each organisation with waiting requests gets an equal part of that rate.
-// The result is 0 while the rate is unknown.
+// recent completion rate. It assumes that each organisation with waiting requests gets an equal part
+// of that rate, regardless of weights. The result is 0 while the rate is unknown.
 func (q *Queue) expectedWait(flow Flow) clock.Millis {
 	perSecond := q.completions.perSecond(q.now())
 	if perSecond <= 0 {
@@ -234,7 +234,8 @@
 	return clock.Millis(float64(ahead) / perSecond * float64(clock.Second))
 }
 
-// completionRate estimates how many requests end per second, averaged over complete windows.
+// completionRate estimates how many requests end per second. The estimate is the average over the last
+// complete window, which lasts at least rateWindowMs.
 type completionRate struct {
 	windowStart clock.Millis
 	current     int
--- a/internal/limit/split.go
+++ b/internal/limit/split.go
@@ -17,8 +17,8 @@
 }
 
 // Fraction returns the fraction of a fleet-wide limit that this box may use. The fractions of boxes
-// with the same information add up to one. A box claims a part by demand only from the even shares
-// of the boxes whose demand it knows. Without contact to any other box it therefore gets its even
+// with the same information add up to one. Only the even shares of this box and of the boxes whose
+// demand it knows are split by demand. Without contact to any other box it therefore gets its even
 // share, whatever its demand.
 func (d Demand) Fraction() float64 {
 	if d.Boxes <= 1 {
--- a/internal/occupancy/occupancy.go
+++ b/internal/occupancy/occupancy.go
@@ -1,6 +1,7 @@
 // Package occupancy counts the requests of all boxes of a large fleet at the upstreams that one box
 // owns. In such a fleet a box sees a small fraction of the traffic and receives load reports too
-// seldom to bound an upstream's load by itself; an owner that grants a permit for each request can.
+// seldom to bound an upstream's load by itself. An upstream's owner can bound the load, because it
+// grants a permit for each request.
 package occupancy
 
 import (
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement decides which orders (to load or unload a model) the engines of a failure
-// domain get, so that each serves the models that the table lists.
+// Package placement decides which orders to load or unload a model the engines of a failure domain
+// get, so that each engine serves the models that the table lists for it.
 package placement
 
 import (
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -24,8 +24,8 @@
 // TryRetry spends one retry from the pool's budget. It returns false if the balance is too low.
 func (b *Budgets) TryRetry(pool string) bool { return b.forPool(pool).TryRetry() }
 
-// SetReserve changes the maximum balance of each budget in retries, for example when the number of
-// boxes that share the reserve changes.
+// SetReserve changes the reserve of each budget, in retries, for example when the number of boxes that
+// share the reserve changes.
 func (b *Budgets) SetReserve(retries int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -39,12 +39,13 @@
 // Option configures a new Budget.
 type Option func(*Budget)
 
-// WithReserve sets the maximum balance in retries.
+// WithReserve sets the maximum balance in retries, without the burst allowance.
 func WithReserve(retries int) Option { return func(b *Budget) { b.reserve = retries } }
 
 // WithBurst raises the maximum balance above the reserve by a percentage of the first attempts in
 // the last window, so that requests that fail together can be retried together. Over one window,
-// retries stay below the reserve plus both percentages of its first attempts.
+// retries stay below the reserve plus the sum of the budget's percentage and the burst percentage of
+// the window's first attempts.
 func WithBurst(percent int, window clock.Millis, monotonicNow func() clock.Millis) Option {
 	return func(b *Budget) { b.burstPercent, b.windowMs, b.monotonicNow = percent, window, monotonicNow }
 }
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -30,8 +30,8 @@
 	ReasonBound    = "at this box's part of the load bound"
 )
 
-// Explain returns the members in rank order for a key, first choice first, and marks the one that
-// the policy currently picks.
+// Explain returns the members in rank order for a key, highest ranked first, and marks the one that
+// the policy currently picks. It omits members with table weight 0 and does not set Owner.
 func (p Policy) Explain(v *View, key Key) []Explanation {
 	order := []int{}
 	for i := range v.Members {
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -89,8 +89,9 @@
 
 // boundShare returns the maximum number of requests that this box may have in flight on a member,
 // counting one more request. If no box exceeds the bound relative to its own mean load, the sum
-// over all boxes does not exceed the bound relative to the total mean load. Each box rounds
-// according to its rank, so that the sum is rounded only once.
+// over all boxes does not exceed the bound relative to the total mean load. The result includes this
+// box's rounding offset and is rounded down by the callers. The offsets of the boxes differ, so that
+// the rounding errors of the boxes do not add up: the sum is rounded only once.
 func (v *View) boundShare(m *Member) float64 {
 	return float64(v.total+1)*m.boundFactor + m.roundingOffset
 }
@@ -128,7 +129,7 @@
 }
 
 // firstOfGroup returns the highest ranked open member of a group that passes the filter. Within a
-// group, the order of the scores follows from the hashes, so no logarithm is needed.
+// group, the member with the highest hash has the lowest score, so no logarithm is needed.
 func (v *View) firstOfGroup(
 	g group, key Key, tried Tried, filter func(v *View, position int) bool,
 ) (position int, hash uint64) {
--- a/internal/route/view.go
+++ b/internal/route/view.go
@@ -1,5 +1,6 @@
-// Package route decides which engine receives a request. Decisions are pure functions of a View:
-// they use no clock, do no I/O and allocate no memory.
+// Package route decides which engine receives a request. A decision depends only on a View, the
+// request's key and the members already tried; some policies also advance a sequence number in the
+// View. Decisions use no clock, do no I/O and allocate no memory.
 package route
 
 import (
@@ -17,8 +18,8 @@
 	// TableWeight is the weight by which the member is ranked for keys. It stays constant during slow
 	// start and ejection, so that ranks do not change.
 	TableWeight int
-	// Weight is the effective weight in 1/100 of the table's weight. It determines the member's part
-	// of the load. A member with weight 0 receives no requests.
+	// Weight is the effective weight; 100 units of it equal one unit of TableWeight. It determines the
+	// member's part of the load. A member with weight 0 receives no requests.
 	Weight int
 	// InFlight is the number of requests that this box has in flight on the member for this model.
 	InFlight int
@@ -229,7 +230,7 @@
 const percent = 100
 
 // SlowStartWeight returns the effective weight of an upstream that joined at joinedMs. It grows
-// linearly to the full table weight over slowStartMs and is at least a tenth of it.
+// linearly to the full table weight over slowStartMs and is at least a tenth of the full weight.
 func SlowStartWeight(weight int, joinedMs, now, slowStartMs clock.Millis) int {
 	age := now - joinedMs
 	if age >= slowStartMs || weight <= 0 {
