--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -152,7 +152,8 @@
 }
 
 func TestFailureRate(t *testing.T) {
-	// respond has each upstream respond in turn, and fail every nth time or never.
+	// respond has the upstreams respond in turn. An upstream fails in every nth round, where n is its
+	// value in failEvery, or never if it has none.
 	respond := func(f *fixture, rounds int, failEvery map[string]int) {
 		for round := 1; round <= rounds; round++ {
 			f.now += 100
@@ -194,7 +195,7 @@
 }
 
 func TestFetchFrom(t *testing.T) {
-	// ask returns a request whose prompt has a head that many sessions share.
+	// ask returns a request whose prompt begins with a part, "head", that many sessions share.
 	ask := func(session string) PickRequest {
 		return PickRequest{Pool: "p", Sticky: true, Transfers: true, Prompt: prompt.Prompt{
 			{ID: "head", Tokens: 2000}, {ID: session, Tokens: 5000}, {ID: "own", Tokens: 10},
@@ -212,7 +213,8 @@
 		f := newFixture(t, 6)
 		holder := f.pick(t, ask("s"))
 		holder.Release(Succeeded)
-		// This is the state if another box sent the request there.
+		// Without these records, this box is in the same state as if another box had sent the first
+		// request.
 		clear(holder.parts)
 		f.SetOthersInFlight(map[namekey.Key]int{namekey.Of(holder.ID): 30})
 		assert.Empty(t, f.pick(t, ask("s")).FetchFrom)
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -11,9 +11,10 @@
 	"dooryard.example/dooryard/internal/registry"
 )
 
-// A server that restarts under the same ID has neither its cache nor its requests any more. Boxes
-// that identified it by the ID alone fetched from it what its previous incarnation had prefilled,
-// skipped it for a load that was gone, and kept it ejected.
+// These tests guard against using the state of a server's previous incarnation. A server that restarts
+// under the same ID has lost its cache and its requests. Boxes that identified it by the ID alone
+// fetched from it what its previous incarnation had prefilled, skipped it because of a load that was
+// gone, and kept it ejected.
 
 // restart restarts an upstream with the same ID and address.
 func (f *fixture) restart(id string) {
--- a/internal/balance/largefleet_test.go
+++ b/internal/balance/largefleet_test.go
@@ -17,9 +17,9 @@
 
 // These tests guard against overloaded engines when a large fleet starts. Hundreds of boxes receive
 // about five requests a second each and send them to hundreds of engines. In a fleet of that size,
-// boxes did not report their loads to each other.
+// boxes did not report their loads to each other when the fault occurred.
 //
-// When this fault occurred, 182 of the 5,267 requests of the first 5 s went to engines above twice the
+// At that time, 182 of the 5,267 requests of the first 5 s went to engines above twice the
 // mean plus three, which is more than the permitted 3%. The 99th percentile of the first two seconds
 // was 1.2 s. According to the boxes' logs, about 330 of some 340 such picks chose an engine that the
 // box considered idle. These picks went to 54 of 240 engines, and a third of them to only four: slow
@@ -44,7 +44,7 @@
 	// sequenceCostPercent is how much each running request slows down the others.
 	sequenceCostPercent = 6
 	// speedSpread is the standard deviation of the logarithm of the engines' speeds: the fastest
-	// twentieth streams three times as fast as the slowest.
+	// twentieth of the engines streams about three times as fast as the slowest twentieth.
 	speedSpread = 0.33
 	msPerSecond = 1000
 )
--- a/internal/balance/retryafter_test.go
+++ b/internal/balance/retryafter_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRetryAfter(t *testing.T) {
-	// busy has requests complete at an interval.
+	// busy lets 200 requests complete one after another, one per interval.
 	busy := func(t *testing.T, f *fixture, interval clock.Millis) {
 		t.Helper()
 		for range 200 {
